--- a/policy/prompt_memory.cpp
+++ b/policy/prompt_memory.cpp
@@ -1,4 +1,4 @@
-//===- prompt_memory.cpp - What upstreams hold of prompts -----------------===//
+//===- prompt_memory.cpp - What upstreams have cached ---------------------===//
 
 #include "policy/prompt_memory.h"
 #include <iterator>
@@ -7,62 +7,64 @@
 
 namespace {
 
-// The rest of an upstream's memory holds requests that run, and what they make.
-constexpr double KeptPart = 0.8;
+// The share of an upstream's KV cache that holds blocks of finished prompts.
+// The rest holds the running requests and their output.
+constexpr double CachedShare = 0.8;
 
 } // namespace
 
-void prompt_memory::drop(holding &Holding,
-                         std::list<prompt_piece>::iterator Piece) {
-  Holding.Tokens -= Piece->Tokens;
-  Holding.ByKey.erase(Piece->Key);
-  Holding.Pieces.erase(Piece);
+void prompt_memory::erase(block_cache &Cache,
+                          std::list<prompt_piece>::iterator Block) {
+  Cache.Tokens -= Block->Tokens;
+  Cache.ByKey.erase(Block->Key);
+  Cache.Blocks.erase(Block);
 }
 
-void prompt_memory::touch(holding &Holding, prompt_piece Piece) {
-  auto It = Holding.ByKey.find(Piece.Key);
-  if (It != Holding.ByKey.end()) {
-    Holding.Pieces.splice(Holding.Pieces.begin(), Holding.Pieces, It->second);
+void prompt_memory::touch(block_cache &Cache, prompt_piece Block) {
+  auto It = Cache.ByKey.find(Block.Key);
+  if (It != Cache.ByKey.end()) {
+    Cache.Blocks.splice(Cache.Blocks.begin(), Cache.Blocks, It->second);
     return;
   }
-  Holding.Pieces.push_front(Piece);
-  Holding.ByKey[Piece.Key] = Holding.Pieces.begin();
-  Holding.Tokens += Piece.Tokens;
+  Cache.Blocks.push_front(Block);
+  Cache.ByKey[Block.Key] = Cache.Blocks.begin();
+  Cache.Tokens += Block.Tokens;
 }
 
-// The last piece first, so that a beginning is never older than what needs it.
+// Touches the last block first, so that a block is never evicted before the
+// blocks that follow it in the prompt, which are useless without it.
 void prompt_memory::sent(uint64_t Upstream,
-                         std::span<const prompt_piece> Pieces) {
-  holding &Holding = Held[Upstream];
-  for (size_t I = Pieces.size(); I-- > 0;)
-    touch(Holding, Pieces[I]);
-  while (Holding.Tokens > uint64_t(KeptPart * double(Room)) &&
-         Holding.Pieces.size() > Pieces.size())
-    drop(Holding, std::prev(Holding.Pieces.end()));
+                         std::span<const prompt_piece> Blocks) {
+  block_cache &Cache = Caches[Upstream];
+  for (size_t I = Blocks.size(); I-- > 0;)
+    touch(Cache, Blocks[I]);
+  while (Cache.Tokens > uint64_t(CachedShare * double(CapacityTokens)) &&
+         Cache.Blocks.size() > Blocks.size())
+    erase(Cache, std::prev(Cache.Blocks.end()));
 }
 
 void prompt_memory::unsure(uint64_t Upstream,
-                           std::span<const prompt_piece> Pieces) {
-  auto It = Held.find(Upstream);
-  if (It == Held.end())
+                           std::span<const prompt_piece> Blocks) {
+  auto It = Caches.find(Upstream);
+  if (It == Caches.end())
     return;
-  for (const prompt_piece &Piece : Pieces) {
-    auto Kept = It->second.ByKey.find(Piece.Key);
-    if (Kept != It->second.ByKey.end())
-      drop(It->second, Kept->second);
+  for (const prompt_piece &Block : Blocks) {
+    auto Cached = It->second.ByKey.find(Block.Key);
+    if (Cached != It->second.ByKey.end())
+      erase(It->second, Cached->second);
   }
 }
 
 uint32_t prompt_memory::kept(uint64_t Upstream,
-                             std::span<const prompt_piece> Pieces) const {
-  auto It = Held.find(Upstream);
-  if (It == Held.end())
+                             std::span<const prompt_piece> Blocks) const {
+  auto It = Caches.find(Upstream);
+  if (It == Caches.end())
     return 0;
   uint32_t Tokens = 0;
-  for (const prompt_piece &Piece : Pieces) {
-    if (!It->second.ByKey.contains(Piece.Key))
+  for (const prompt_piece &Block : Blocks) {
+    if (!It->second.ByKey.contains(Block.Key))
       break;
-    Tokens += Piece.Tokens;
+    Tokens += Block.Tokens;
   }
   return Tokens;
 }
--- a/policy/prompt_memory.h
+++ b/policy/prompt_memory.h
@@ -1,8 +1,9 @@
-//===- prompt_memory.h - What upstreams hold of prompts ---------*- C++ -*-===//
+//===- prompt_memory.h - What upstreams have cached -------------*- C++ -*-===//
 //
-// An upstream keeps what it has read of a prompt until it needs the room, and
-// need not read it again for the same model. Nobody asks it for what it keeps:
-// each gateway knows what it sent where and hears the same of the others. Pure.
+// Estimates which prompt prefixes each upstream has in its KV cache, so that a
+// prompt can go where the least of it needs prefill. An upstream does not
+// report the contents of its cache, so they are derived from the prompts that
+// this gateway and the others sent to it. Pure.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,39 +17,48 @@
 
 namespace olivevalve {
 
-/// A part of a prompt, named together with all parts before it and the model:
-/// a part is of use only behind the same beginning.
+/// A block of a prompt. An upstream can reuse a cached block only for the same
+/// model and after the same preceding blocks.
 struct prompt_piece {
+  /// Hash of the model, all preceding blocks and this one.
   uint64_t Key = 0;
-  uint32_t Tokens = 0; ///< Of this part alone.
+  uint32_t Tokens = 0; ///< Of this block alone.
 };
 
+/// A least-recently-used list of prompt blocks for each upstream.
 class prompt_memory {
 public:
-  /// \p Tokens: what an upstream has room for.
-  void setRoom(uint64_t Tokens) { Room = Tokens; }
-  /// The upstream has been sent a prompt of these pieces, in their order.
-  void sent(uint64_t Upstream, std::span<const prompt_piece> Pieces);
-  /// It did not read them after all, or perhaps not.
-  void unsure(uint64_t Upstream, std::span<const prompt_piece> Pieces);
-  /// Tokens of the prompt's beginning that the upstream need not read.
-  uint32_t kept(uint64_t Upstream, std::span<const prompt_piece> Pieces) const;
-  /// The upstream has ended.
-  void forget(uint64_t Upstream) { Held.erase(Upstream); }
-  size_t upstreams() const { return Held.size(); }
+  /// Sets the size of an upstream's KV cache in \p Tokens, the same for all
+  /// upstreams.
+  void setRoom(uint64_t Tokens) { CapacityTokens = Tokens; }
+  /// Records that the upstream was sent a prompt of these blocks, in the order
+  /// of the prompt. Evicts other blocks if the cache is full.
+  void sent(uint64_t Upstream, std::span<const prompt_piece> Blocks);
+  /// Removes blocks that the upstream may not have processed, because the
+  /// request was taken back or failed before its first token.
+  void unsure(uint64_t Upstream, std::span<const prompt_piece> Blocks);
+  /// The number of tokens in the longest cached prefix of the prompt.
+  uint32_t kept(uint64_t Upstream, std::span<const prompt_piece> Blocks) const;
+  /// Removes an upstream that has terminated.
+  void forget(uint64_t Upstream) { Caches.erase(Upstream); }
+  /// The number of upstreams that have blocks.
+  size_t upstreams() const { return Caches.size(); }
 
 private:
-  struct holding {
-    std::list<prompt_piece> Pieces; ///< Longest unused last.
+  struct block_cache {
+    std::list<prompt_piece> Blocks; ///< Most recently used first.
     std::unordered_map<uint64_t, std::list<prompt_piece>::iterator> ByKey;
     uint64_t Tokens = 0;
   };
 
-  void touch(holding &Holding, prompt_piece Piece);
-  static void drop(holding &Holding, std::list<prompt_piece>::iterator Piece);
+  void touch(block_cache &Cache, prompt_piece Block);
+  static void erase(block_cache &Cache,
+                    std::list<prompt_piece>::iterator Block);
 
-  std::unordered_map<uint64_t, holding> Held; ///< By upstream.
-  uint64_t Room = 400000; ///< Tokens; until the service tells.
+  std::unordered_map<uint64_t, block_cache> Caches; ///< By upstream.
+  /// The size of an upstream's KV cache; a default until the service's
+  /// configuration is received.
+  uint64_t CapacityTokens = 400000;
 };
 
 } // namespace olivevalve
--- a/policy/prompt_pace.cpp
+++ b/policy/prompt_pace.cpp
@@ -1,4 +1,4 @@
-//===- prompt_pace.cpp - How long models read -----------------------------===//
+//===- prompt_pace.cpp - How long the prefill of prompts takes ------------===//
 
 #include "policy/prompt_pace.h"
 #include <algorithm>
@@ -7,55 +7,62 @@
 
 namespace {
 
-// Of the cheapest model, in seconds for a token, until it is learnt.
-constexpr double FirstGuess = 3e-6;
-// Attention over a prompt so long takes as much again: 0.15 ns for a pair of
-// tokens beside 9 us for one.
-constexpr double DoublingTokens = 58000;
-// The pace is the time of the fastest answers in four, as the others waited.
+// Initial estimate for the cheapest model.
+constexpr double InitialSecondsPerToken = 3e-6;
+// Attention makes the prefill time quadratic in the length of the prompt. At
+// this length it doubles the time: attention takes 0.15 ns for each pair of
+// tokens, everything else 9 us for each token.
+constexpr double AttentionDoublingTokens = 58000;
+// The estimate follows this quantile of the observed times per token, because
+// the slower requests also waited in a queue.
 constexpr double PaceQuantile = 0.25;
-// Each answer moves it by so much, the first ones by more: the first guess may
-// be wrong by three times, and a gateway may hear three answers a second. The
-// first answer sets it, within bounds, as it may have waited.
-constexpr double PaceStep = 0.03;
-constexpr double FirstPaceStep = 1;
-constexpr double MostOfGuess = 5;
-// Where fewer were read, the first token tells nothing of the pace.
-constexpr uint32_t LeastTokens = 1500;
-
-// Reading takes longer than in proportion: each token looks at all before it.
-double workOf(uint32_t Tokens) {
-  return Tokens * (1 + Tokens / DoublingTokens);
+// Relative size of an update; the first updates are larger. The initial
+// estimate may be wrong by a factor of three, and a gateway may observe as few
+// as three first tokens per second.
+constexpr double MinStep = 0.03;
+constexpr double InitialStep = 1;
+// The first observation replaces the initial estimate, limited to this factor
+// in both directions, because the request may have waited in a queue.
+constexpr double MaxFirstCorrection = 5;
+// With fewer uncached tokens the time to first token says little about the
+// prefill speed.
+constexpr uint32_t MinUncachedTokens = 1500;
+
+// Prefill work in units of one token without attention. It grows faster than
+// the number of tokens, because each token attends to all tokens before it.
+double prefillWork(uint32_t Tokens) {
+  return Tokens * (1 + Tokens / AttentionDoublingTokens);
 }
 
 } // namespace
 
 double prompt_pace::secondsFor(const std::string &Model, double Cost,
-                               uint32_t Tokens, uint32_t Kept) const {
+                               uint32_t Tokens, uint32_t Cached) const {
   auto It = Paces.find(Model);
-  double Pace =
-      It == Paces.end() ? FirstGuess * Cost : It->second.SecondsPerToken;
-  return Pace * (workOf(Tokens) - workOf(std::min(Kept, Tokens)));
+  double Pace = It == Paces.end() ? InitialSecondsPerToken * Cost
+                                  : It->second.SecondsPerToken;
+  return Pace * (prefillWork(Tokens) - prefillWork(std::min(Cached, Tokens)));
 }
 
 void prompt_pace::firstToken(const std::string &Model, double Cost,
-                             uint32_t Tokens, uint32_t Kept, double Seconds) {
-  if (Tokens < LeastTokens || Tokens - LeastTokens < Kept)
+                             uint32_t Tokens, uint32_t Cached, double Seconds) {
+  if (Tokens < MinUncachedTokens || Tokens - MinUncachedTokens < Cached)
     return;
-  learnt &Learnt =
-      Paces.try_emplace(Model, learnt{FirstGuess * Cost, 0}).first->second;
-  double Seen = std::max(0.0, Seconds - FirstTokenSeconds) /
-                (workOf(Tokens) - workOf(Kept));
-  if (Learnt.Answers++ == 0) {
-    double Guess = Learnt.SecondsPerToken;
-    Learnt.SecondsPerToken =
-        std::clamp(Seen, Guess / MostOfGuess, Guess * MostOfGuess);
+  estimated_pace &Pace =
+      Paces.try_emplace(Model, estimated_pace{InitialSecondsPerToken * Cost, 0})
+          .first->second;
+  double Observed = std::max(0.0, Seconds - FirstTokenSeconds) /
+                    (prefillWork(Tokens) - prefillWork(Cached));
+  if (Pace.Observations++ == 0) {
+    double Initial = Pace.SecondsPerToken;
+    Pace.SecondsPerToken = std::clamp(Observed, Initial / MaxFirstCorrection,
+                                      Initial * MaxFirstCorrection);
     return;
   }
-  double Step = std::max(PaceStep, FirstPaceStep / Learnt.Answers);
-  Learnt.SecondsPerToken *= Seen < Learnt.SecondsPerToken
-                                ? 1 - Step * (1 - PaceQuantile)
-                                : 1 + Step * PaceQuantile;
+  double Step = std::max(MinStep, InitialStep / Pace.Observations);
+  Pace.SecondsPerToken *= Observed < Pace.SecondsPerToken
+                              ? 1 - Step * (1 - PaceQuantile)
+                              : 1 + Step * PaceQuantile;
 }
 
 } // namespace olivevalve
--- a/policy/prompt_pace.h
+++ b/policy/prompt_pace.h
@@ -1,8 +1,8 @@
-//===- prompt_pace.h - How long models read ---------------------*- C++ -*-===//
+//===- prompt_pace.h - How long the prefill of prompts takes ----*- C++ -*-===//
 //
-// Upstreams differ from fleet to fleet, and the models of one by ten times, so
-// the time that a prompt takes is learnt from the first tokens of answers.
-// Pure.
+// Prefill speed differs between deployments, and between the models of one by
+// a factor of ten, so it is estimated for each model from the times to first
+// token that are observed. Pure.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,31 +15,35 @@
 
 namespace olivevalve {
 
-/// A token that is made takes an upstream as long as so many that are read,
-/// when it is well filled.
+/// The cost of an output token in input tokens: on an upstream with most of its
+/// slots in use, generating one token takes as long as the prefill of this
+/// many.
 constexpr uint32_t ReadTokensPerMade = 10;
-/// From sending to the first token on a free upstream, beside the prompt.
+/// The part of the time to first token on an idle upstream that does not depend
+/// on the length of the prompt.
 constexpr double FirstTokenSeconds = 0.05;
 
-/// Learns how long the models of a service read a token of a prompt.
+/// Estimates the prefill time per token of each model.
 class prompt_pace {
 public:
-  /// Seconds to read a prompt. \p Cost: of the model beside the cheapest, the
-  /// first guess of its pace. \p Kept: tokens at the prompt's beginning that
-  /// need not be read.
+  /// Expected seconds for the prefill of a prompt of \p Tokens tokens, of which
+  /// the first \p Cached are in the upstream's KV cache. \p Cost is the cost of
+  /// the model relative to the cheapest one; the initial estimate is
+  /// proportional to it.
   double secondsFor(const std::string &Model, double Cost, uint32_t Tokens,
-                    uint32_t Kept = 0) const;
-  /// A first token came \p Seconds after the request was sent.
+                    uint32_t Cached = 0) const;
+  /// Updates the estimate with a first token that was received \p Seconds after
+  /// the request was sent. Prompts with few uncached tokens are ignored.
   void firstToken(const std::string &Model, double Cost, uint32_t Tokens,
-                  uint32_t Kept, double Seconds);
+                  uint32_t Cached, double Seconds);
 
 private:
-  struct learnt {
+  struct estimated_pace {
     double SecondsPerToken = 0;
-    uint32_t Answers = 0;
+    uint32_t Observations = 0;
   };
 
-  std::map<std::string, learnt> Paces; ///< By model.
+  std::map<std::string, estimated_pace> Paces; ///< By model.
 };
 
 } // namespace olivevalve
--- a/policy/upstream_choice.cpp
+++ b/policy/upstream_choice.cpp
@@ -8,72 +8,78 @@
 
 namespace {
 
-// An upstream in another data hall must be less loaded by this share of its
-// slots: the bytes on the way have a price, waiting has a higher one.
+// Added to the load per slot of an upstream in another data hall. Traffic
+// between data halls costs money, but queueing costs more.
 constexpr double OtherHallPenalty = 0.15;
-// Loads that differ by less are taken for equal and drawn by lot: every entry
-// sees a load that is a moment old.
-constexpr double SameLoad = 0.02;
-// Seconds that bytes to another data hall are worth.
-constexpr double OtherHallSeconds = 0.1;
-// A full upstream makes new requests wait for a place; how full it is weighs
-// little before that.
-constexpr double NearlyFull = 0.8;
-constexpr double SecondsWhenFull = 1.0;
-constexpr double SecondsByFill = 0.05;
-// A second of reading counts for so many of waiting: all who come behind wait
-// for it too.
-constexpr double WeightOfReading = 2.5;
-// What is kept nowhere goes to the upstream that comes first or second for it:
-// gateways that choose at the same moment choose alike.
-constexpr double FirstKeeps = 0.7 * WeightOfReading;
-constexpr double SecondKeeps = 0.3 * WeightOfReading;
-// Gateways that choose the one that seems emptiest, all from news of the same
-// moment ago, fill it far above the others. From this fill on, on average, each
-// chooses among so few by lot, and as many of other data halls: gateways that
-// know only their own would lose by one lot over all. Fuller, the first wave
-// of a flood has piled up already; emptier, what upstreams keep of prompts is
-// worth more.
-constexpr double DrawFromFill = 0.5;
-constexpr size_t DrawnByLot = 3;
-// In the mean that tells whether all are full, an absurd load counts for no
-// more.
-constexpr double MostFill = 2;
-// Gateways that choose at the same moment do not know of each other.
+// Loads per slot that differ by less than this are treated as equal, and one of
+// the upstreams is chosen at random, because load reports are slightly old.
+constexpr double LoadTolerance = 0.02;
+// Penalty in seconds for sending a request to another data hall.
+constexpr double OtherHallPenaltySeconds = 0.1;
+// Above this load per slot an upstream is likely to queue new requests, so the
+// penalty rises steeply. Below it the load has little effect.
+constexpr double NearlyFullLoad = 0.8;
+constexpr double FullPenaltySeconds = 1.0;
+constexpr double LoadPenaltySeconds = 0.05;
+// Weight of a second of prefill relative to a second of waiting: the prefill
+// also delays all requests that are sent to the upstream after this one.
+constexpr double PrefillWeight = 2.5;
+// Bonus, per second of prefill, for the two upstreams that rank first and
+// second for a shared prefix that no upstream has cached. It makes gateways
+// that choose at the same moment send the prefix to the same upstreams.
+constexpr double FirstRankBonus = 0.7 * PrefillWeight;
+constexpr double SecondRankBonus = 0.3 * PrefillWeight;
+// If all gateways choose the least loaded upstream from reports of the same
+// age, they overload it. From this mean load per slot on, each gateway chooses
+// only among a few upstreams drawn at random. It draws the same number from its
+// own and from the other data halls: a gateway that has the load of its own
+// data hall only would do worse with one draw over all upstreams. A higher
+// threshold would take effect only after the start of a traffic spike has
+// piled up; with a lower one, prompt prefixes that upstreams have cached would
+// be used less.
+constexpr double SamplingLoad = 0.5;
+constexpr size_t SampleSize = 3;
+// Upper bound on one upstream's load per slot in the mean above, so that one
+// absurd load report does not decide it.
+constexpr double MaxLoadInMean = 2;
+// Random addition to each estimate, so that gateways that choose at the same
+// moment, without the others' latest choices, do not all choose the same
+// upstream.
 constexpr double JitterSeconds = 0.01;
 
-double fillOf(const upstream_view &Upstream) {
+double loadPerSlot(const upstream_view &Upstream) {
   return Upstream.Load / std::max(1.0, Upstream.Slots);
 }
 
-double share(const upstream_view &Upstream) {
-  return fillOf(Upstream) + (Upstream.SameHall ? 0 : OtherHallPenalty);
+double penalizedLoad(const upstream_view &Upstream) {
+  return loadPerSlot(Upstream) + (Upstream.SameHall ? 0 : OtherHallPenalty);
 }
 
-bool anySound(const std::vector<upstream_view> &Upstreams) {
+bool anyNotSuspect(const std::vector<upstream_view> &Upstreams) {
   return std::any_of(Upstreams.begin(), Upstreams.end(),
                      [](const upstream_view &U) { return !U.Suspect; });
 }
 
-// What nobody has told of would look empty, and all gateways would send there.
-void supposeLoads(std::vector<upstream_view> &Upstreams) {
+// Without this, an upstream whose load was not reported would look empty, and
+// all gateways would send their requests there.
+void estimateUnknownLoads(std::vector<upstream_view> &Upstreams) {
   std::vector<double> Known;
   for (const upstream_view &Each : Upstreams)
     if (Each.LoadKnown && !Each.Suspect)
-      Known.push_back(fillOf(Each));
+      Known.push_back(loadPerSlot(Each));
   if (Known.empty() || Known.size() == Upstreams.size())
     return;
-  auto Middle = Known.begin() + ptrdiff_t(Known.size() / 2);
-  std::nth_element(Known.begin(), Middle, Known.end());
+  auto Median = Known.begin() + ptrdiff_t(Known.size() / 2);
+  std::nth_element(Known.begin(), Median, Known.end());
   for (upstream_view &Each : Upstreams)
     if (!Each.LoadKnown)
-      Each.Load = std::max(Each.Load, *Middle * std::max(1.0, Each.Slots));
+      Each.Load = std::max(Each.Load, *Median * std::max(1.0, Each.Slots));
 }
 
 } // namespace
 
 void supposeUnseen(std::vector<upstream_view> &Upstreams) {
-  supposeLoads(Upstreams);
+  estimateUnknownLoads(Upstreams);
   double Seconds = 0;
   double Seen = 0;
   for (const upstream_view &Each : Upstreams) {
@@ -88,31 +94,31 @@
 
 double meanPromptSeconds(const std::vector<upstream_view> &Upstreams) {
   double Seconds = 0;
-  size_t Sound = 0;
+  size_t Eligible = 0;
   for (const upstream_view &Each : Upstreams)
     if (!Each.Suspect) {
       Seconds += Each.PromptSeconds;
-      ++Sound;
+      ++Eligible;
     }
-  return Seconds / double(std::max<size_t>(1, Sound));
+  return Seconds / double(std::max<size_t>(1, Eligible));
 }
 
 std::optional<size_t>
 chooseLeastLoaded(const std::vector<upstream_view> &Upstreams,
                   std::mt19937_64 &Random) {
-  bool HeedSuspicion = anySound(Upstreams);
-  double Least = 0;
+  bool SkipSuspects = anyNotSuspect(Upstreams);
+  double Lowest = 0;
   size_t Ties = 0;
   std::optional<size_t> Best;
   for (size_t I = 0; I < Upstreams.size(); ++I) {
-    if (HeedSuspicion && Upstreams[I].Suspect)
+    if (SkipSuspects && Upstreams[I].Suspect)
       continue;
-    double Share = share(Upstreams[I]);
-    if (!Best || Share < Least - SameLoad) {
+    double Load = penalizedLoad(Upstreams[I]);
+    if (!Best || Load < Lowest - LoadTolerance) {
       Best = I;
-      Least = Share;
+      Lowest = Load;
       Ties = 1;
-    } else if (Share < Least + SameLoad && Random() % ++Ties == 0) {
+    } else if (Load < Lowest + LoadTolerance && Random() % ++Ties == 0) {
       Best = I;
     }
   }
@@ -121,59 +127,61 @@
 
 namespace {
 
-double fillSeconds(const upstream_view &Upstream) {
-  double Fill = fillOf(Upstream);
-  double Over = std::max(0.0, Fill - NearlyFull) / (1 - NearlyFull);
-  return SecondsByFill * Fill + SecondsWhenFull * Over;
+double loadPenaltySeconds(const upstream_view &Upstream) {
+  double Load = loadPerSlot(Upstream);
+  double Excess = std::max(0.0, Load - NearlyFullLoad) / (1 - NearlyFullLoad);
+  return LoadPenaltySeconds * Load + FullPenaltySeconds * Excess;
 }
 
-/// The two upstreams that a shared part goes to first, by rendezvous: few parts
-/// move when an upstream comes or goes.
-struct keepers {
+/// The two preferred upstreams for a shared prefix, by rendezvous hashing: few
+/// prefixes move when an upstream is added or removed.
+struct preferred_upstreams {
   std::optional<size_t> First;
   std::optional<size_t> Second;
 };
 
-keepers keepersOf(const std::vector<upstream_view> &Upstreams, uint64_t Key) {
-  keepers Keepers;
+preferred_upstreams
+preferredUpstreams(const std::vector<upstream_view> &Upstreams, uint64_t Key) {
+  preferred_upstreams Preferred;
   uint64_t FirstRank = 0;
   uint64_t SecondRank = 0;
   for (size_t I = 0; I < Upstreams.size(); ++I) {
     uint64_t Rank = checksum(Upstreams[I].Id, Key);
     if (Rank > FirstRank) {
-      Keepers.Second = Keepers.First;
+      Preferred.Second = Preferred.First;
       SecondRank = FirstRank;
-      Keepers.First = I;
+      Preferred.First = I;
       FirstRank = Rank;
     } else if (Rank > SecondRank) {
-      Keepers.Second = I;
+      Preferred.Second = I;
       SecondRank = Rank;
     }
   }
-  return Keepers;
+  return Preferred;
 }
 
-/// Where upstreams are half full on average, the few by lot among which to
-/// choose, as many of the own data hall as of others, or none: then all.
-std::vector<bool> drawnByLot(const std::vector<upstream_view> &Upstreams,
-                             bool HeedSuspicion, std::mt19937_64 &Random) {
+/// Draws the upstreams to choose among, up to SampleSize each from the own and
+/// from other data halls. Returns an empty vector, which stands for all
+/// upstreams, if there are few of them or their mean load is low.
+std::vector<bool> sampleUpstreams(const std::vector<upstream_view> &Upstreams,
+                                  bool SkipSuspects, std::mt19937_64 &Random) {
   std::vector<size_t> Own;
   std::vector<size_t> Others;
-  double Fill = 0;
+  double TotalLoad = 0;
   for (size_t I = 0; I < Upstreams.size(); ++I) {
-    if (HeedSuspicion && Upstreams[I].Suspect)
+    if (SkipSuspects && Upstreams[I].Suspect)
       continue;
     (Upstreams[I].SameHall ? Own : Others).push_back(I);
-    Fill += std::min(MostFill, fillOf(Upstreams[I]));
+    TotalLoad += std::min(MaxLoadInMean, loadPerSlot(Upstreams[I]));
   }
-  size_t Sound = Own.size() + Others.size();
-  if (Sound <= DrawnByLot || Fill < DrawFromFill * double(Sound))
+  size_t Eligible = Own.size() + Others.size();
+  if (Eligible <= SampleSize || TotalLoad < SamplingLoad * double(Eligible))
     return {};
-  std::vector<bool> Drawn(Upstreams.size(), false);
-  for (const std::vector<size_t> &Places : {Own, Others})
-    for (size_t I = 0; I < DrawnByLot && !Places.empty(); ++I)
-      Drawn[Places[Random() % Places.size()]] = true;
-  return Drawn;
+  std::vector<bool> Sampled(Upstreams.size(), false);
+  for (const std::vector<size_t> &Indexes : {Own, Others})
+    for (size_t I = 0; I < SampleSize && !Indexes.empty(); ++I)
+      Sampled[Indexes[Random() % Indexes.size()]] = true;
+  return Sampled;
 }
 
 } // namespace
@@ -181,36 +189,36 @@
 std::optional<size_t> chooseSoonest(const std::vector<upstream_view> &Upstreams,
                                     const prompt_view &Prompt,
                                     std::mt19937_64 &Random) {
-  bool HeedSuspicion = anySound(Upstreams);
-  keepers Keepers;
+  bool SkipSuspects = anyNotSuspect(Upstreams);
+  preferred_upstreams Preferred;
   if (Prompt.SharedSeconds > 0)
-    Keepers = keepersOf(Upstreams, Prompt.SharedKey);
-  double LeastRead = Prompt.Seconds;
+    Preferred = preferredUpstreams(Upstreams, Prompt.SharedKey);
+  double MinPrefill = Prompt.Seconds;
   for (const upstream_view &Upstream : Upstreams)
-    LeastRead = std::min(LeastRead, Upstream.ReadSeconds);
-  double Unkept =
-      std::max(0.0, LeastRead - (Prompt.Seconds - Prompt.SharedSeconds));
+    MinPrefill = std::min(MinPrefill, Upstream.ReadSeconds);
+  double UncachedShared =
+      std::max(0.0, MinPrefill - (Prompt.Seconds - Prompt.SharedSeconds));
   std::uniform_real_distribution<double> Jitter(0, JitterSeconds);
   std::optional<size_t> Best;
-  double Least = 0;
-  std::vector<bool> Drawn = drawnByLot(Upstreams, HeedSuspicion, Random);
+  double Lowest = 0;
+  std::vector<bool> Sampled = sampleUpstreams(Upstreams, SkipSuspects, Random);
   for (size_t I = 0; I < Upstreams.size(); ++I) {
     const upstream_view &Upstream = Upstreams[I];
-    if (HeedSuspicion && Upstream.Suspect)
+    if (SkipSuspects && Upstream.Suspect)
       continue;
-    if (!Drawn.empty() && !Drawn[I])
+    if (!Sampled.empty() && !Sampled[I])
       continue;
-    double Seconds = Upstream.PromptSeconds + fillSeconds(Upstream) +
-                     WeightOfReading * Upstream.ReadSeconds + Jitter(Random);
+    double Seconds = Upstream.PromptSeconds + loadPenaltySeconds(Upstream) +
+                     PrefillWeight * Upstream.ReadSeconds + Jitter(Random);
     if (!Upstream.SameHall)
-      Seconds += OtherHallSeconds;
-    if (Keepers.First == I)
-      Seconds -= FirstKeeps * Unkept;
-    else if (Keepers.Second == I)
-      Seconds -= SecondKeeps * Unkept;
-    if (!Best || Seconds < Least) {
+      Seconds += OtherHallPenaltySeconds;
+    if (Preferred.First == I)
+      Seconds -= FirstRankBonus * UncachedShared;
+    else if (Preferred.Second == I)
+      Seconds -= SecondRankBonus * UncachedShared;
+    if (!Best || Seconds < Lowest) {
       Best = I;
-      Least = Seconds;
+      Lowest = Seconds;
     }
   }
   return Best;
--- a/policy/upstream_choice.h
+++ b/policy/upstream_choice.h
@@ -1,7 +1,8 @@
 //===- upstream_choice.h - Which upstream gets a request --------*- C++ -*-===//
 //
-// For upstreams that an entry speaks to directly. Pure: the views are made from
-// what is known at the moment.
+// Selects the upstream for a request among those that a gateway forwards to
+// directly. The functions are pure: the caller builds an upstream_view of each
+// candidate from its current data.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,44 +17,60 @@
 
 namespace olivevalve {
 
-/// What is known of one upstream that may be chosen.
+/// The state of one candidate upstream, as this gateway has it.
 struct upstream_view {
   std::string_view Id;
-  double Load = 0;          ///< Requests that run or wait there, estimated.
-  double Seen = 0;          ///< Of them, those whose prompts are known.
-  bool LoadKnown = true;    ///< False: nothing tells how many there are.
-  double Slots = 1;         ///< Requests that it works on at once.
-  bool SameHall = false;    ///< In the data hall of the entry.
-  bool Suspect = false;     ///< Failed lately: only if there is no other.
-  double PromptSeconds = 0; ///< Of its time, for prompts that it has to read.
-  /// Of its time, to read of this prompt what it does not keep.
+  /// Estimated number of requests that run or are queued at the upstream.
+  double Load = 0;
+  /// The requests among these whose prefill work is known.
+  double Seen = 0;
+  /// False if there is no recent load report; Load then counts only the
+  /// requests of this gateway and of the peers it receives updates from.
+  bool LoadKnown = true;
+  double Slots = 1;      ///< Requests that the upstream runs concurrently.
+  bool SameHall = false; ///< In the same data hall as the gateway.
+  /// Failed recently: chosen only if all candidates are suspect.
+  bool Suspect = false;
+  /// Upstream time for the outstanding prefill of requests already sent there,
+  /// as far as it is known, in seconds.
+  double PromptSeconds = 0;
+  /// Upstream time for the prefill of the part of this request's prompt that
+  /// the upstream does not have in its cache, in seconds.
   double ReadSeconds = 0;
 };
 
-/// The prompt of a request to a model.
+/// The prefill work of a request's prompt; all zero if the request is not for a
+/// model.
 struct prompt_view {
-  double Seconds = 0;       ///< Of an upstream's time, to read all of it.
-  double SharedSeconds = 0; ///< For the part that other prompts begin with.
-  uint64_t SharedKey = 0;   ///< Names that part and the model.
+  /// Upstream time for the prefill of the whole prompt, in seconds.
+  double Seconds = 0;
+  /// The same for the prefix that it shares with other prompts.
+  double SharedSeconds = 0;
+  /// Hash of the model and the shared prefix; 0 if there is no such prefix.
+  uint64_t SharedKey = 0;
 };
 
-/// Puts in what a gateway that hears of some gateways only cannot see. An
-/// upstream whose load is not known counts as full as the middle one of the
-/// others, if that is fuller; requests that are not seen have prompts like
-/// those that are.
+/// Fills in estimates for a gateway that receives updates from only some of the
+/// other gateways. An upstream with unknown load is assumed to be at least as
+/// full as the median of the others. Requests whose prefill work is unknown are
+/// assumed to need the mean of those whose work is known.
 void supposeUnseen(std::vector<upstream_view> &Upstreams);
 
-/// Of an upstream's time, for prompts that it has to read, on average.
+/// The mean outstanding prefill work of the upstreams that are not suspect, in
+/// seconds; 0 if there is none.
 double meanPromptSeconds(const std::vector<upstream_view> &Upstreams);
 
-/// The place of the upstream with the least load for its slots.
+/// The index of the upstream with the lowest load per slot; none if
+/// \p Upstreams is empty.
 std::optional<size_t>
 chooseLeastLoaded(const std::vector<upstream_view> &Upstreams,
                   std::mt19937_64 &Random);
 
-/// The place of the upstream where the first token is expected soonest, at the
-/// least cost to the others. Gateways send the same shared part to the same
-/// upstream as long as that does not make it wait.
+/// The index of the upstream with the lowest expected time to first token,
+/// where prefill also counts for the delay that it causes to other requests;
+/// none if \p Upstreams is empty. All gateways prefer the same two upstreams
+/// for a shared prefix that no upstream has cached, so that few upstreams
+/// compute and cache it, unless the request would have to wait there.
 std::optional<size_t> chooseSoonest(const std::vector<upstream_view> &Upstreams,
                                     const prompt_view &Prompt,
                                     std::mt19937_64 &Random);
