--- a/policy/admission.cpp
+++ b/policy/admission.cpp
@@ -1,4 +1,4 @@
-//===- admission.cpp - Whom a full service takes --------------------------===//
+//===- admission.cpp - Admission control for overloaded services ----------===//
 
 #include "policy/admission.h"
 #include <algorithm>
@@ -7,23 +7,26 @@
 
 namespace {
 
-// Of the last answer, in the mean: some 50 answers count, two seconds' worth at
-// a gateway of a busy fleet.
-constexpr double SlotTimeStep = 0.02;
-// Parts of the target that a request may wait for a slot: below the first none
-// of the least urgent is refused, above the second all are. Well under the
-// whole target, as what is known of loads is late.
-constexpr double FirstRefused = 0.1;
-constexpr double AllRefused = 0.4;
-// Each rank of urgency may wait longer by this part of the target: little
-// beside the span above, so that nobody starves.
-constexpr double PartByRank = 0.05;
-constexpr uint32_t LeastUrgent = 2;
-// Of the upstreams, those that are less full than the one that stands for all.
-constexpr double LowPart = 0.25;
-// Callers heed advice up to so much of the time that they have.
-constexpr double HeededPart = 1.0 / 3;
-constexpr double SpreadFrom = 0.5;
+// Weight of the latest response in the mean slot time. About the last 50
+// responses count, which a gateway under high load sends in two seconds.
+constexpr double SlotTimeWeight = 0.02;
+// Expected waits for a slot, as fractions of the target latency: below the
+// first no request of the lowest priority is refused, above the second all are.
+// Both are well below 1, because load reports are late.
+constexpr double MinRefusedWait = 0.1;
+constexpr double MaxAcceptedWait = 0.4;
+// Each higher priority may wait longer by this fraction of the target latency.
+// It is small compared with the range above, so that no priority starves.
+constexpr double WaitPerPriority = 0.05;
+constexpr uint32_t LowestPriority = 2;
+// The quantile of the upstreams' waits that stands for the service.
+constexpr double WaitQuantile = 0.25;
+// The largest fraction of a caller's remaining time that is sent as
+// Retry-After: callers ignore longer ones.
+constexpr double MaxRetryAfterShare = 1.0 / 3;
+// The Retry-After is spread over the range from this fraction of the largest
+// value to the largest value.
+constexpr double MinRetryAfterShare = 0.5;
 
 } // namespace
 
@@ -33,48 +36,55 @@
 }
 
 void service_pace::ended(double Seconds) {
-  SlotSeconds += (SlotSeconds == 0 ? 1 : SlotTimeStep) *
+  SlotSeconds += (SlotSeconds == 0 ? 1 : SlotTimeWeight) *
                  (std::max(0.0, Seconds) - SlotSeconds);
 }
 
-// Not the least of all: what seems emptiest is what is known worst, and all
-// gateways send there. Nor the mean: long queues at some say nothing of the
-// rest.
+// Uses a low quantile of the upstreams' waits. The minimum would be too
+// optimistic: the upstream that looks least loaded is often the one with the
+// least accurate load, and all gateways send there. The mean would be too
+// pessimistic, because long queues at some upstreams say nothing about the
+// others.
 double waitForSlot(const std::vector<upstream_view> &Upstreams,
                    double SlotSeconds) {
   std::vector<double> Waits;
   Waits.reserve(Upstreams.size());
   for (const upstream_view &Each : Upstreams) {
     double Slots = std::max(1.0, Each.Slots);
-    double Before = std::max(0.0, Each.Load + 1 - Slots);
+    double QueuedAhead = std::max(0.0, Each.Load + 1 - Slots);
     if (!Each.Suspect)
-      Waits.push_back(Before / Slots * SlotSeconds);
+      Waits.push_back(QueuedAhead / Slots * SlotSeconds);
   }
   if (Waits.empty())
     return 0;
-  auto Low = Waits.begin() + ptrdiff_t(double(Waits.size()) * LowPart);
-  std::nth_element(Waits.begin(), Low, Waits.end());
-  return *Low;
+  auto Quantile =
+      Waits.begin() + ptrdiff_t(double(Waits.size()) * WaitQuantile);
+  std::nth_element(Waits.begin(), Quantile, Waits.end());
+  return *Quantile;
 }
 
-// By chance and not by a bound: many gateways see the same wait a moment late,
-// and would all refuse and all take by turns.
+// A probability instead of a fixed limit: many gateways have the same slightly
+// old estimate of the wait, and with a limit all of them would alternate
+// between refusing and accepting all requests.
 double refusalChance(double WaitSeconds, double TargetSeconds,
                      uint32_t Priority) {
   if (TargetSeconds <= 0)
     return 0;
-  double Rank = PartByRank * (LeastUrgent - std::min(Priority, LeastUrgent));
-  double Part = WaitSeconds / TargetSeconds - Rank;
-  return std::clamp((Part - FirstRefused) / (AllRefused - FirstRefused), 0.0,
-                    1.0);
+  double Allowance =
+      WaitPerPriority * (LowestPriority - std::min(Priority, LowestPriority));
+  double RelativeWait = WaitSeconds / TargetSeconds - Allowance;
+  return std::clamp((RelativeWait - MinRefusedWait) /
+                        (MaxAcceptedWait - MinRefusedWait),
+                    0.0, 1.0);
 }
 
-// Late, as a flood outlasts what waits in it and most callers come back once
-// only; spread, so that they do not come back together.
+// The value is large, because a traffic spike lasts longer than the requests
+// queued in it and most callers retry only once. It is randomized, so that
+// callers do not retry at the same moment.
 double comeBackAfter(double LeftSeconds, std::mt19937_64 &Random) {
-  double Last = std::max(0.0, LeftSeconds) * HeededPart;
-  double First = Last * SpreadFrom;
-  return std::uniform_real_distribution<double>(First, Last)(Random);
+  double Max = std::max(0.0, LeftSeconds) * MaxRetryAfterShare;
+  double Min = Max * MinRetryAfterShare;
+  return std::uniform_real_distribution<double>(Min, Max)(Random);
 }
 
 } // namespace olivevalve
--- a/policy/admission.h
+++ b/policy/admission.h
@@ -1,9 +1,9 @@
-//===- admission.h - Whom a full service takes ------------------*- C++ -*-===//
+//===- admission.h - Admission control for overloaded services --*- C++ -*-===//
 //
-// Where more is asked of a service than its upstreams can begin in time, each
-// request that waits makes those behind it late too. A gateway refuses what
-// would wait too long before it is sent anywhere, and tells its caller when to
-// come back. Pure.
+// If a service receives more requests than its upstreams can start in time,
+// each queued request also delays those behind it. A gateway therefore refuses
+// requests that would wait too long, before it sends them to an upstream, and
+// returns a Retry-After to the caller. Pure.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,16 +16,17 @@
 
 namespace olivevalve {
 
-/// What a gateway has learnt of a service's requests.
+/// What a gateway has observed of a service's requests.
 class service_pace {
 public:
-  /// A request of a route with this target came.
+  /// Records a request to a route with this target latency.
   void asked(double TargetSeconds);
-  /// An answer is over; it held its slot for so long.
-  void ended(double SlotSeconds);
-  /// The mean; 0 before any answer is over.
+  /// Records a finished response that occupied its slot for \p Seconds.
+  void ended(double Seconds);
+  /// The mean time that a response occupies its slot; 0 before the first one.
   double slotSeconds() const { return SlotSeconds; }
-  /// The shortest of its routes; 0 before any request came.
+  /// The shortest target latency of the routes that had requests, in seconds; 0
+  /// before the first request.
   double shortestTarget() const { return ShortestTarget; }
 
 private:
@@ -33,19 +34,21 @@
   double ShortestTarget = 0;
 };
 
-/// Seconds until a slot is free for one request more, at one of the less full
-/// upstreams.
+/// Expected seconds until one more request gets a slot at one of the less
+/// loaded upstreams. \p SlotSeconds: the mean time that a response occupies its
+/// slot.
 double waitForSlot(const std::vector<upstream_view> &Upstreams,
                    double SlotSeconds);
 
-/// How likely a request should be refused, 0 to 1. \p WaitSeconds: for a slot
-/// where it would begin soonest. \p TargetSeconds: the shortest of the service.
-/// \p Priority: 0 is the most urgent.
+/// The probability with which a request should be refused, 0 to 1.
+/// \p WaitSeconds: the expected wait for a slot.
+/// \p TargetSeconds: the shortest target latency of the service; 0 if none is
+/// known, and then nothing is refused. \p Priority: 0 is the most urgent.
 double refusalChance(double WaitSeconds, double TargetSeconds,
                      uint32_t Priority);
 
-/// Seconds after which a refused caller has the best chance. \p LeftSeconds: of
-/// the time that it has.
+/// The Retry-After for a refused request, in seconds, randomized.
+/// \p LeftSeconds: time left until the caller's deadline.
 double comeBackAfter(double LeftSeconds, std::mt19937_64 &Random);
 
 } // namespace olivevalve
--- a/policy/model_choice.cpp
+++ b/policy/model_choice.cpp
@@ -9,82 +9,88 @@
 
 namespace {
 
-// Below the first confidence an answer is poor, above the second it is good,
-// with an even slope between them.
-constexpr double SurelyPoor = 0.32;
-constexpr double SurelyGood = 0.68;
-// What an answer is worth to its caller for 1,000 tokens, those made counting
-// as ReadTokensPerMade each, in the unit that the operator states the models'
-// cost in: of the most urgent route, and so much less with each rank of
-// priority. Higher ones have the largest model asked for more than it is worth
-// where upstreams are busy.
-constexpr double WorthPerThousand = 0.3;
-constexpr double NextRank = 0.6;
-// Models' costs are for tokens made; one that is read costs a quarter.
-constexpr double CostOfRead = 0.25;
-// So many works: with a mean backlog as long, an upstream is never free and
-// each second more is a second's wait for others.
-constexpr double FatalWorks = 4;
-// An answer that begins late is worth so much of one in time.
-constexpr double LateWorth = 0.28;
-// Of what was earned before the last request: some 200 requests count.
-constexpr double EarningsKept = 0.995;
-constexpr double WorkKept = 0.995;
+// Answers with a confidence below the first value are considered poor, those
+// above the second good. The probability is linear in between.
+constexpr double PoorConfidence = 0.32;
+constexpr double GoodConfidence = 0.68;
+// Utility of a good answer to a request of the most urgent priority, for 1,000
+// tokens, where each output token counts as several input tokens. It is in the
+// unit in which the operator configures the cost of models. With a higher value
+// gateways ask the largest model too often where upstreams are busy and its
+// upstream time has more utility for other requests.
+constexpr double UtilityPerThousandTokens = 0.3;
+// Factor by which the utility falls with each lower priority.
+constexpr double PriorityFactor = 0.6;
+// Cost of an input token relative to an output token, for which the cost of
+// models is configured.
+constexpr double InputTokenCost = 0.25;
+// With a mean backlog of this many residual times an upstream is never idle,
+// and each further second of work delays other requests by a second.
+constexpr double SaturatedBacklog = 4;
+// Utility of an answer that begins late, relative to one in time.
+constexpr double LateUtilityFactor = 0.28;
+// Discount per request: about the last 200 requests count.
+constexpr double UtilityDecay = 0.995;
+constexpr double TimeDecay = 0.995;
 constexpr double Thousand = 1000;
 
 } // namespace
 
-// A small model takes a tenth of the largest one's time and cost, so asking it
-// first pays when it is good enough for one request in ten.
+// The smallest. A small model has a tenth of the time and cost of the largest
+// one, so asking it first pays if it is good enough for one request in ten.
 size_t firstModel(size_t) { return 0; }
 
 double poorChance(double Confidence) {
-  return std::clamp((SurelyGood - Confidence) / (SurelyGood - SurelyPoor), 0.0,
-                    1.0);
+  return std::clamp((GoodConfidence - Confidence) /
+                        (GoodConfidence - PoorConfidence),
+                    0.0, 1.0);
 }
 
 double worthOf(const request_size &Size) {
   double Tokens =
       double(Size.ReadTokens) + double(ReadTokensPerMade) * Size.MadeTokens;
-  return WorthPerThousand * std::pow(NextRank, Size.Priority) * Tokens /
-         Thousand;
+  return UtilityPerThousandTokens * std::pow(PriorityFactor, Size.Priority) *
+         Tokens / Thousand;
 }
 
-void earnings::earned(double NewWorth, double NewSeconds) {
-  Worth = EarningsKept * Worth + NewWorth;
-  Seconds = EarningsKept * Seconds + NewSeconds;
+void earnings::earned(double NewUtility, double NewSeconds) {
+  Utility = UtilityDecay * Utility + NewUtility;
+  Seconds = UtilityDecay * Seconds + NewSeconds;
 }
 
 void work_sizes::weighed(double Seconds) {
-  Sum = WorkKept * Sum + Seconds;
-  Squares = WorkKept * Squares + Seconds * Seconds;
+  Sum = TimeDecay * Sum + Seconds;
+  Squares = TimeDecay * Squares + Seconds * Seconds;
 }
 
-// What waits already waits longer for it. A short wait costs hardly anything,
-// as answers still begin in time; a long one all that the upstream would earn
-// meanwhile.
-double worthOfSecond(double WorthPerSecond, double BacklogSeconds,
-                     double WorkSeconds) {
-  double Part = BacklogSeconds / (FatalWorks * std::max(WorkSeconds, 1e-3));
-  return WorthPerSecond * std::min(1.0, Part * Part);
+// The work delays requests that are already waiting. A short backlog costs
+// hardly anything, because answers still begin in time. With a long one, the
+// utility that the upstream would have achieved in the meantime is lost.
+double worthOfSecond(double UtilityPerSecond, double BacklogSeconds,
+                     double ResidualSeconds) {
+  double Saturation =
+      BacklogSeconds / (SaturatedBacklog * std::max(ResidualSeconds, 1e-3));
+  return UtilityPerSecond * std::min(1.0, Saturation * Saturation);
 }
 
-// A model in the middle is skipped: it would have to be left again for most
-// requests that are too hard for the smallest.
-std::optional<size_t> largerModel(const model_answer &Answer) {
-  if (Answer.Place + 1 >= Answer.Models)
+// Returns the largest model, never one in the middle: most requests that are
+// too hard for the smallest model are too hard for those as well.
+std::optional<size_t> largerModel(const model_answer &Input) {
+  if (Input.Place + 1 >= Input.Models)
     return std::nullopt;
-  double Gain = poorChance(Answer.Confidence) * worthOf(Answer.Size);
-  if (!Answer.InTime)
-    Gain *= LateWorth;
-  double Use = Answer.LargestCost *
-               (CostOfRead * Answer.Size.ReadTokens + Answer.Size.MadeTokens) /
-               Thousand;
-  // It takes a slot more, which another request like this one may not get.
-  double Refused = Answer.RefusedShare * worthOf(Answer.Size);
-  if (Gain <= Use + Answer.LargestSeconds * Answer.WorthOfSecond + Refused)
+  double Gain = poorChance(Input.Confidence) * worthOf(Input.Size);
+  if (!Input.InTime)
+    Gain *= LateUtilityFactor;
+  double Cost =
+      Input.LargestCost *
+      (InputTokenCost * Input.Size.ReadTokens + Input.Size.MadeTokens) /
+      Thousand;
+  // The request takes one more slot, for want of which another request like it
+  // may be refused.
+  double RefusalLoss = Input.RefusedShare * worthOf(Input.Size);
+  if (Gain <= Cost + Input.LargestSeconds * Input.WorthOfSecond + RefusalLoss)
     return std::nullopt;
-  return Answer.Models - 1;
+  return Input.Models - 1;
 }
 
 } // namespace olivevalve
--- a/policy/model_choice.h
+++ b/policy/model_choice.h
@@ -1,8 +1,9 @@
 //===- model_choice.h - Which size of model answers -------------*- C++ -*-===//
 //
-// Routes that list several models leave the choice to the system. A larger one
-// answers hard requests well, costs more and takes more of its upstream; each
-// tells with its answer how good it thinks it is. Pure.
+// A route may list several models and leave the choice to the gateway. A larger
+// model answers hard requests better, but costs more and takes more upstream
+// time. Each model reports with its response how confident it is. The functions
+// decide from this whether a larger model is asked instead. Pure.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,53 +16,64 @@
 
 namespace olivevalve {
 
-/// What a request asks of a model.
+/// The size of a request, from which its utility is computed.
 struct request_size {
-  uint32_t ReadTokens = 0; ///< Of the prompt.
-  uint32_t MadeTokens = 1; ///< Expected, of the answer.
+  uint32_t ReadTokens = 0; ///< Input tokens of the prompt.
+  uint32_t MadeTokens = 1; ///< Expected output tokens.
   uint32_t Priority = 0;   ///< 0 is the most urgent.
 };
 
-/// What is known when a model has begun to answer; places are in the list of
-/// models, smallest first.
+/// The input of largerModel(): what is known once a model has begun to answer.
+/// Models are numbered in the order of the route's list, smallest first.
 struct model_answer {
-  size_t Models = 1;     ///< In the list.
-  size_t Place = 0;      ///< Of the one that answers.
-  double Confidence = 1; ///< Its own, 0 to 1.
+  size_t Models = 1;     ///< Number of models in the list.
+  size_t Place = 0;      ///< Index of the model that answers.
+  double Confidence = 1; ///< Reported by that model, 0 to 1.
   request_size Size;
-  double LargestCost = 0;    ///< Of the largest model, for 1,000 tokens made.
-  double LargestSeconds = 0; ///< Of an upstream's time, with that model.
-  double WorthOfSecond = 0;  ///< Of an upstream's time, to others.
-  double RefusedShare = 0;   ///< Of requests that come now, for want of a slot.
-  bool InTime = true; ///< The largest model is expected to begin within the
-                      ///< route's target.
+  /// Cost of the largest model for 1,000 output tokens, in the operator's unit.
+  double LargestCost = 0;
+  /// Upstream time for this request with the largest model, in seconds.
+  double LargestSeconds = 0;
+  /// Utility that other requests lose for each second of upstream time.
+  double WorthOfSecond = 0;
+  /// Probability that a new request is refused now for want of a slot, 0 to 1.
+  double RefusedShare = 0;
+  /// The largest model is expected to send its first token within the route's
+  /// target latency.
+  bool InTime = true;
 };
 
-/// What the first models of a service earn with an upstream's time.
+/// Average utility per second of upstream time of a service's requests, from
+/// their first attempts. Old requests are discounted exponentially.
 class earnings {
 public:
-  void earned(double Worth, double Seconds);
-  /// Worth for a second; 0 before anything was earned.
-  double perSecond() const { return Seconds > 0 ? Worth / Seconds : 0; }
+  /// Adds a request of utility \p NewUtility that takes \p NewSeconds of
+  /// upstream time.
+  void earned(double NewUtility, double NewSeconds);
+  /// Utility per second; 0 before any request.
+  double perSecond() const { return Seconds > 0 ? Utility / Seconds : 0; }
 
 private:
-  double Worth = 0;
+  double Utility = 0;
   double Seconds = 0;
 };
 
-/// The place of the model that is asked first.
+/// The index of the model that is asked first in a list of \p Models.
 size_t firstModel(size_t Models);
 
-/// What a good answer is worth to its caller, in the unit of models' cost.
+/// The utility of a good answer, in the unit of the models' costs.
 double worthOf(const request_size &Size);
 
-/// How long the largest model's requests keep an upstream at work.
+/// Statistics of the time that an upstream spends on a request to the largest
+/// model. Old requests are discounted exponentially.
 class work_sizes {
 public:
-  /// One of them is weighed; it would take so long.
+  /// Adds a request considered for the largest model, which would take
+  /// \p Seconds of upstream time.
   void weighed(double Seconds);
-  /// What is left of the one that is at work when another comes, on average: a
-  /// few long ones weigh more than many short ones. 0 before any.
+  /// The mean residual time of the request in progress when another one
+  /// arrives, in seconds: E[S^2] / E[S], so a few long requests count for more
+  /// than many short ones. 0 before any request.
   double residual() const { return Sum > 0 ? Squares / Sum : 0; }
 
 private:
@@ -69,18 +81,20 @@
   double Squares = 0;
 };
 
-/// What a second of an upstream's time is worth to the requests that wait or
-/// will come. \p WorthPerSecond: that the first models earn. \p WorkSeconds:
-/// residual of the works there; a backlog is long beside these.
-double worthOfSecond(double WorthPerSecond, double BacklogSeconds,
-                     double WorkSeconds);
+/// Utility that waiting and future requests lose for each second of upstream
+/// time. \p UtilityPerSecond is what a service's requests achieve on average.
+/// \p BacklogSeconds is the mean prefill backlog of an upstream.
+/// \p ResidualSeconds is the mean residual time of a request to the largest
+/// model, by which the backlog is judged to be short or long.
+double worthOfSecond(double UtilityPerSecond, double BacklogSeconds,
+                     double ResidualSeconds);
 
-/// How likely an answer is poor whose model has this confidence, 0 to 1.
+/// The probability that an answer with this confidence is poor, 0 to 1.
 double poorChance(double Confidence);
 
-/// The place of a larger model that should be asked instead, or none when the
-/// answer is good enough or the larger model is needed more elsewhere.
-std::optional<size_t> largerModel(const model_answer &Answer);
+/// The index of the larger model to ask instead; none if the answer is good
+/// enough or the larger model has more utility for other requests.
+std::optional<size_t> largerModel(const model_answer &Input);
 
 } // namespace olivevalve
 
--- a/policy/work_queue.cpp
+++ b/policy/work_queue.cpp
@@ -1,4 +1,4 @@
-//===- work_queue.cpp - Order of work at an upstream ----------------------===//
+//===- work_queue.cpp - Order of requests at an upstream ------------------===//
 
 #include "policy/work_queue.h"
 #include <algorithm>
@@ -7,36 +7,36 @@
 
 size_t work_queue::size() const {
   size_t Sum = 0;
-  for (const auto &Line : Lines)
-    Sum += Line.size();
+  for (const auto &Queue : Queues)
+    Sum += Queue.size();
   return Sum;
 }
 
-// Sheds the newest of the least urgent: it has waited least, and its caller
-// learns soonest that it did not run.
+// Sheds the newest request of the lowest priority: it has waited least, so its
+// caller is notified early that it did not run.
 std::optional<uint64_t> work_queue::push(const queued_work &Work) {
-  uint32_t Priority = std::min(Work.Priority, Priorities - 1);
+  uint32_t Priority = std::min(Work.Priority, PriorityLevels - 1);
   if (size() < MaxLength) {
-    Lines[Priority].push_back(Work);
+    Queues[Priority].push_back(Work);
     return std::nullopt;
   }
-  for (uint32_t Last = Priorities - 1; Last > Priority; --Last) {
-    if (Lines[Last].empty())
+  for (uint32_t Lower = PriorityLevels - 1; Lower > Priority; --Lower) {
+    if (Queues[Lower].empty())
       continue;
-    uint64_t Shed = Lines[Last].back().Ticket;
-    Lines[Last].pop_back();
-    Lines[Priority].push_back(Work);
+    uint64_t Shed = Queues[Lower].back().Ticket;
+    Queues[Lower].pop_back();
+    Queues[Priority].push_back(Work);
     return Shed;
   }
   return Work.Ticket;
 }
 
 std::optional<queued_work> work_queue::pop(double Now) {
-  for (auto &Line : Lines)
-    for (auto It = Line.begin(); It != Line.end(); ++It)
+  for (auto &Queue : Queues)
+    for (auto It = Queue.begin(); It != Queue.end(); ++It)
       if (It->Deadline > Now) {
         queued_work Work = *It;
-        Line.erase(It);
+        Queue.erase(It);
         return Work;
       }
   return std::nullopt;
@@ -44,8 +44,8 @@
 
 std::vector<uint64_t> work_queue::takeExpired(double Now) {
   std::vector<uint64_t> Expired;
-  for (auto &Line : Lines)
-    std::erase_if(Line, [&](const queued_work &Work) {
+  for (auto &Queue : Queues)
+    std::erase_if(Queue, [&](const queued_work &Work) {
       if (Work.Deadline <= Now)
         Expired.push_back(Work.Ticket);
       return Work.Deadline <= Now;
@@ -55,9 +55,9 @@
 
 bool work_queue::remove(uint64_t Ticket) {
   size_t Removed = 0;
-  for (auto &Line : Lines)
+  for (auto &Queue : Queues)
     Removed += std::erase_if(
-        Line, [&](const queued_work &W) { return W.Ticket == Ticket; });
+        Queue, [&](const queued_work &W) { return W.Ticket == Ticket; });
   return Removed > 0;
 }
 
--- a/policy/work_queue.h
+++ b/policy/work_queue.h
@@ -1,7 +1,8 @@
-//===- work_queue.h - Order of work at an upstream --------------*- C++ -*-===//
+//===- work_queue.h - Order of requests at an upstream ----------*- C++ -*-===//
 //
-// The sidecar's queue: by priority, then by arrival, with a bound on length
-// and on waiting. When it is full the least urgent is shed first. Pure.
+// The sidecar's request queue: ordered by priority, then by arrival, with a
+// bound on its length and a deadline for each request. When it is full, the
+// least urgent request is shed first. Pure.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,34 +18,36 @@
 
 namespace olivevalve {
 
-/// Priorities 0 (first) to 3 (last).
-constexpr uint32_t Priorities = 4;
+/// The number of priorities: 0 is served first, 3 last.
+constexpr uint32_t PriorityLevels = 4;
 
+/// A queued request. Times are in steady-clock seconds.
 struct queued_work {
-  uint64_t Ticket = 0;
+  uint64_t Ticket = 0; ///< Identifies the request in the queue.
   uint32_t Priority = 1;
-  double Arrived = 0;  ///< Seconds.
-  double Deadline = 0; ///< When waiting on makes no more sense.
+  double Arrived = 0;
+  double Deadline = 0; ///< From then on the request is no longer started.
 };
 
 class work_queue {
 public:
   explicit work_queue(size_t MaxLength) : MaxLength(MaxLength) {}
 
-  /// Adds work. Returns the ticket that had to be shed for it: its own when
-  /// nothing less urgent waits, none when there was room.
+  /// Adds a request. Returns the ticket of the request that was shed: none if
+  /// there was room, that of \p Work if no queued request is less urgent.
   std::optional<uint64_t> push(const queued_work &Work);
-  /// The next in order whose deadline has not passed.
+  /// Removes and returns the first request whose deadline has not passed.
   std::optional<queued_work> pop(double Now);
-  /// Takes out everything whose deadline has passed.
+  /// Removes all requests whose deadline has passed and returns their tickets.
   std::vector<uint64_t> takeExpired(double Now);
-  /// False if it is not queued.
+  /// Returns false if no request with this ticket is queued.
   bool remove(uint64_t Ticket);
   size_t size() const;
 
 private:
   size_t MaxLength;
-  std::array<std::deque<queued_work>, Priorities> Lines;
+  /// By priority, each in the order of arrival.
+  std::array<std::deque<queued_work>, PriorityLevels> Queues;
 };
 
 } // namespace olivevalve
