--- a/policy/crash_evidence.cpp
+++ b/policy/crash_evidence.cpp
@@ -1,4 +1,4 @@
-//===- crash_evidence.cpp - Requests that upstreams end under -------------===//
+//===- crash_evidence.cpp - Requests that crash upstreams -----------------===//
 
 #include "policy/crash_evidence.h"
 #include <algorithm>
@@ -7,28 +7,30 @@
 
 namespace {
 
-// Tries that lie further apart are not held against a request together.
+// Evidence expires this long after the last crash: crashes further apart are
+// not counted together.
 constexpr double EvidenceSeconds = 600;
-// An answer speaks for a request so long. Popular ones get one more often.
+// How long a complete response clears a request. Frequent requests get a
+// response more often than this.
 constexpr double AnsweredSeconds = 60;
 
 } // namespace
 
 void answered_requests::add(const short_digest &Request, double Now) {
-  Table[placeOf(Request)] = {.Request = Request,
+  Table[indexOf(Request)] = {.Request = Request,
                              .Until = Now + AnsweredSeconds};
 }
 
 bool answered_requests::contains(const short_digest &Request,
                                  double Now) const {
-  const place &Place = Table[placeOf(Request)];
-  return Place.Request == Request && Now < Place.Until;
+  const entry &Entry = Table[indexOf(Request)];
+  return Entry.Request == Request && Now < Entry.Until;
 }
 
 crash_evidence::crash_evidence(crash_evidence_options NewOptions)
-    : Options(NewOptions), Answered(NewOptions.AnsweredRequests) {}
+    : Options(NewOptions), Answered(NewOptions.MaxAnsweredRequests) {}
 
-bool crash_evidence::holds(const record &Record, double Now) const {
+bool crash_evidence::isCurrent(const record &Record, double Now) const {
   return Now < Record.LastAt + EvidenceSeconds;
 }
 
@@ -43,7 +45,7 @@
   if (Answered.contains(Report.Request, Now))
     return false;
   auto It = Records.find(Report.Request);
-  if (It != Records.end() && !holds(It->second, Now)) {
+  if (It != Records.end() && !isCurrent(It->second, Now)) {
     forget(Report.Request);
     It = Records.end();
   }
@@ -81,14 +83,14 @@
 std::set<uint64_t> crash_evidence::endsUnder(const short_digest &Request,
                                              double Now) const {
   auto It = Records.find(Request);
-  if (It == Records.end() || !holds(It->second, Now))
+  if (It == Records.end() || !isCurrent(It->second, Now))
     return {};
   return It->second.Upstreams;
 }
 
 bool crash_evidence::convicted(const short_digest &Request, double Now) const {
   auto It = Records.find(Request);
-  return It != Records.end() && holds(It->second, Now) &&
+  return It != Records.end() && isCurrent(It->second, Now) &&
          It->second.Upstreams.size() >= EndsToConvict;
 }
 
--- a/policy/crash_evidence.h
+++ b/policy/crash_evidence.h
@@ -1,10 +1,12 @@
-//===- crash_evidence.h - Requests that upstreams end under -----*- C++ -*-===//
+//===- crash_evidence.h - Requests that crash upstreams ---------*- C++ -*-===//
 //
-// A request may crash every upstream that runs it, and comes again at any
-// gateway. What speaks against it is the set of upstreams that ended while they
-// had it: a union, so that it does not matter who tells it, in which order or
-// how often. What speaks for it is one whole answer: such a request never gets
-// one, while a popular one that upstreams only happen to end under does. Pure.
+// A request may crash every upstream that processes it, and its caller may
+// retry it at any gateway. The evidence against a request is the set of
+// upstreams that crashed while processing it. Reports are merged as a set
+// union, so their order, origin and repetition do not matter. A single complete
+// response clears the request: a request that crashes upstreams never gets one,
+// while a frequent request that was merely in progress during crashes does.
+// Pure.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,71 +21,83 @@
 
 namespace olivevalve {
 
-/// An upstream ended while it had a request.
+/// An upstream crashed while it was processing a request.
 struct crash_report {
   short_digest Request{};
-  uint64_t Upstream = 0; ///< Its incarnation.
+  uint64_t Upstream = 0; ///< Incarnation of the upstream.
 };
 
-/// Requests that got a whole answer lately. The memory is fixed: a newer one
-/// may take the place of an older one.
+/// Requests that recently got a complete response: a hash table of fixed size
+/// in which a newer entry may overwrite an older one.
 class answered_requests {
 public:
-  explicit answered_requests(size_t Places) : Table(Places) {}
+  explicit answered_requests(size_t Capacity) : Table(Capacity) {}
 
   void add(const short_digest &Request, double Now);
   bool contains(const short_digest &Request, double Now) const;
 
 private:
-  struct place {
+  struct entry {
     short_digest Request{};
-    double Until = 0; ///< Steady seconds.
+    double Until = 0; ///< Steady-clock seconds.
   };
-  size_t placeOf(const short_digest &Request) const {
+  size_t indexOf(const short_digest &Request) const {
     return size_t(Request[0] % Table.size());
   }
 
-  std::vector<place> Table;
+  std::vector<entry> Table;
 };
 
 struct crash_evidence_options {
-  size_t MostRequests = 4096;        ///< That some upstream ended under.
-  size_t AnsweredRequests = 1 << 14; ///< Remembered as such.
+  /// The number of requests for which evidence is held.
+  size_t MostRequests = 4096;
+  /// The number of recently answered requests that are remembered.
+  size_t MaxAnsweredRequests = 1 << 14;
 };
 
+/// The crash evidence that one process holds. All times are steady-clock
+/// seconds.
 class crash_evidence {
 public:
-  /// So many upstreams that end under one request are no coincidence.
+  /// The number of upstreams that must have crashed for a request to be
+  /// quarantined: too many for a coincidence.
   static constexpr size_t EndsToConvict = 3;
 
   explicit crash_evidence(crash_evidence_options Options = {});
 
-  /// True if this is new, and the request was not answered lately.
+  /// Adds a crash report. Returns false if the report is a duplicate, the
+  /// evidence already suffices, or the request was answered recently.
   bool ended(const crash_report &Report, double Now);
-  /// A whole answer came. True if something spoke against the request.
+  /// Records a complete response to the request and clears the evidence against
+  /// it. Returns true if there was any.
   bool answered(const short_digest &Request, double Now);
   bool answeredLately(const short_digest &Request, double Now) const {
     return Answered.contains(Request, Now);
   }
-  /// Drops all that speaks against it.
+  /// Removes all evidence against the request.
   void forget(const short_digest &Request);
+  /// True if the evidence suffices to quarantine the request.
   bool convicted(const short_digest &Request, double Now) const;
-  /// Upstreams that ended under it.
+  /// The incarnations of the upstreams that crashed while processing the
+  /// request.
   std::set<uint64_t> endsUnder(const short_digest &Request, double Now) const;
+  /// All requests whose evidence suffices to quarantine them, latest first.
   std::vector<short_digest> allConvicted(double Now) const;
+  /// The number of requests with evidence, including expired evidence.
   size_t size() const { return Records.size(); }
 
 private:
   struct record {
-    std::set<uint64_t> Upstreams; ///< EndsToConvict at most.
-    double LastAt = 0;
+    /// Incarnations, up to the number that is needed for the quarantine.
+    std::set<uint64_t> Upstreams;
+    double LastAt = 0; ///< When the last upstream was added.
   };
-  /// Those with the fewest ends go first, of equals the oldest.
+  /// The order of eviction: fewest crashes first, then oldest.
   using order_key = std::tuple<size_t, double, short_digest>;
   static order_key orderOf(const short_digest &Request, const record &Record) {
     return {Record.Upstreams.size(), Record.LastAt, Request};
   }
-  bool holds(const record &Record, double Now) const;
+  bool isCurrent(const record &Record, double Now) const;
   void makeRoom();
 
   crash_evidence_options Options;
--- a/policy/model_choice.cpp
+++ b/policy/model_choice.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-// The smallest. A small model has a tenth of the time and cost of the largest
+// The smallest model: it has a tenth of the time and cost of the largest
 // one, so asking it first pays if it is good enough for one request in ten.
 size_t firstModel(size_t) { return 0; }
 
--- a/policy/retry_share.cpp
+++ b/policy/retry_share.cpp
@@ -8,15 +8,18 @@
 
 namespace {
 
-// Of the ratio, what comes with each request; the rest may be saved. More of it
-// serves lasting trouble, less a sudden one.
-constexpr double EarnedPart = 0.87;
-// Of the slack, what comes with time, and what may be saved. The rest is for
-// gateways that were told too few: the leader does not hear of all.
-constexpr double TimedPart = 0.3;
+// The part of the ratio that is obtained with each request; the remaining part
+// may be saved from the window before. A higher value allows more retries
+// during lasting failures, a lower one more retries after a sudden failure.
+constexpr double RequestPart = 0.87;
+// The parts of the slack that are obtained with time and that may be saved. The
+// remaining part covers the case that gateways divide the slack by too low a
+// number of gateways, because the leader does not receive reports from all.
+constexpr double TimePart = 0.3;
 constexpr double SavedPart = 0.3;
-// A gateway may retry once however many share the slack.
-constexpr double LeastSaved = 1;
+// Lower bound on the bucket size: however many gateways share the slack, each
+// can save the token for one retry.
+constexpr double MinBucketSize = 1;
 
 } // namespace
 
@@ -26,39 +29,40 @@
 
 void retry_share::setBounds(retry_window_bounds NewBounds, uint32_t Gateways) {
   Bounds = NewBounds;
-  SlackPart = Gateways == 0 ? 0 : Bounds.Slack / double(Gateways);
-  Tokens = std::min(Tokens, mostSaved());
+  SlackShare = Gateways == 0 ? 0 : Bounds.Slack / double(Gateways);
+  Tokens = std::min(Tokens, maxTokens());
 }
 
-double retry_share::mostSaved() const {
-  double OfRatio = Bounds.Ratio * (1 - EarnedPart) * double(Requests);
-  // What one request earns it may use, however few came before it.
-  double OfOne = Bounds.Ratio * EarnedPart;
-  return std::max({LeastSaved, OfOne, SlackPart * SavedPart + OfRatio});
+double retry_share::maxTokens() const {
+  double FromRatio = Bounds.Ratio * (1 - RequestPart) * double(Requests);
+  // The tokens of one request fit even if no requests came before it.
+  double FromOneRequest = Bounds.Ratio * RequestPart;
+  return std::max(
+      {MinBucketSize, FromOneRequest, SlackShare * SavedPart + FromRatio});
 }
 
-void retry_share::moveTo(double Now) {
-  if (MovedAt < 0)
-    MovedAt = Now;
-  double Passed = std::max(0.0, Now - std::exchange(MovedAt, Now));
-  auto Number = int64_t(Now / (Bounds.WindowSeconds / double(Slices)));
-  int64_t Steps = std::min(Number - Current, int64_t(Slices));
-  Current = std::max(Current, Number);
+void retry_share::advanceTo(double Now) {
+  if (AdvancedAt < 0)
+    AdvancedAt = Now;
+  double Elapsed = std::max(0.0, Now - std::exchange(AdvancedAt, Now));
+  auto Slice = int64_t(Now / (Bounds.WindowSeconds / double(Slices)));
+  int64_t Steps = std::min(Slice - Current, int64_t(Slices));
+  Current = std::max(Current, Slice);
   for (int64_t Step = 0; Step < Steps; ++Step)
     Requests -= std::exchange(Ring[size_t(Current - Step) % Slices], 0);
-  double Came = SlackPart * TimedPart * Passed / Bounds.WindowSeconds;
-  Tokens = std::min(Tokens + Came, mostSaved());
+  double FromTime = SlackShare * TimePart * Elapsed / Bounds.WindowSeconds;
+  Tokens = std::min(Tokens + FromTime, maxTokens());
 }
 
 void retry_share::requestSeen(double Now) {
-  moveTo(Now);
+  advanceTo(Now);
   ++Ring[size_t(Current) % Slices];
   ++Requests;
-  Tokens = std::min(Tokens + Bounds.Ratio * EarnedPart, mostSaved());
+  Tokens = std::min(Tokens + Bounds.Ratio * RequestPart, maxTokens());
 }
 
 bool retry_share::left(double Now) {
-  moveTo(Now);
+  advanceTo(Now);
   return Tokens >= 1;
 }
 
@@ -70,8 +74,8 @@
 }
 
 void retry_share::giveBack(double Now) {
-  moveTo(Now);
-  Tokens = std::min(Tokens + 1, mostSaved());
+  advanceTo(Now);
+  Tokens = std::min(Tokens + 1, maxTokens());
 }
 
 } // namespace olivevalve
--- a/policy/warming.cpp
+++ b/policy/warming.cpp
@@ -1,4 +1,4 @@
-//===- warming.cpp - How many requests a cold upstream gets ---------------===//
+//===- warming.cpp - Request rate to a cold upstream ----------------------===//
 
 #include "policy/warming.h"
 #include <algorithm>
@@ -8,16 +8,17 @@
 
 namespace {
 
-// Of the bound, what the gateways of one view plan: as many more may hold
-// another view.
+// The part of the bound that gateways with the same list of gateways use
+// together. The other part is for gateways that still have another list.
 constexpr double PlannedPart = 0.5;
-// Requests that are sent late on a new connection come closer together.
+// Requests are spaced out further by this factor: when a request is delayed by
+// the setup of a new connection, the next one arrives closer behind it.
 constexpr double GapMargin = 1.1;
 
 size_t plannedRequests(double RequestsPerSecond, cold_bounds Bounds) {
-  double Most = RequestsPerSecond * Bounds.Ratio + Bounds.Slack;
-  double Planned = std::min(RequestsPerSecond, PlannedPart * Most);
-  if (!std::isfinite(Planned) || Most < 1)
+  double Bound = RequestsPerSecond * Bounds.Ratio + Bounds.Slack;
+  double Planned = std::min(RequestsPerSecond, PlannedPart * Bound);
+  if (!std::isfinite(Planned) || Bound < 1)
     return 0;
   return size_t(std::max(1.0, std::floor(Planned)));
 }
@@ -25,17 +26,17 @@
 } // namespace
 
 double warmingShare(double RequestsPerSecond, cold_bounds Bounds,
-                    warming_circle Circle) {
-  if (Circle.Gateways == 0)
+                    warming_circle Group) {
+  if (Group.Gateways == 0)
     return 0;
   size_t Planned = plannedRequests(RequestsPerSecond, Bounds);
-  size_t OfEach = Planned / Circle.Gateways;
-  bool GetsOneMore = Circle.Rank < Planned % Circle.Gateways;
-  return double(OfEach + GetsOneMore);
+  size_t PerGateway = Planned / Group.Gateways;
+  bool GetsOneMore = Group.Rank < Planned % Group.Gateways;
+  return double(PerGateway + GetsOneMore);
 }
 
-void warming_pace::sent(double Now, double Share) {
-  NextAt = Now + GapMargin / Share;
+void warming_pace::sent(double Now, double Rate) {
+  NextAt = Now + GapMargin / Rate;
 }
 
 } // namespace olivevalve
--- a/policy/warming.h
+++ b/policy/warming.h
@@ -1,14 +1,15 @@
-//===- warming.h - How many requests a cold upstream gets -------*- C++ -*-===//
+//===- warming.h - Request rate to a cold upstream --------------*- C++ -*-===//
 //
-// An upstream that has just started bears few requests a second from all
-// gateways together, and falls over when far more come. An empty one looks best
-// to each gateway at the same moment, so each keeps to a share of its own.
-// Pure.
+// An upstream that has just started can process only a few requests per second
+// from all gateways together and fails under much more. Because an empty
+// upstream looks best to all gateways at the same moment, each gateway limits
+// itself to its own share of that rate. Pure.
 //
-// The shares must add up to no more than the bound although gateways hear late
-// who there is: all that hold one view plan half of the bound together, so two
-// views at once keep it. A gateway spaces its requests, and one that has just
-// started waits, as it has forgotten what it sent.
+// The shares must not add up to more than the bound although gateways learn
+// late which other gateways exist. Gateways with the same list of gateways
+// therefore plan only half of the bound together, so that the bound holds while
+// two different lists are in use. A gateway spaces out its requests, and waits
+// after its own start, because it does not know what it sent before.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,38 +20,47 @@
 
 namespace olivevalve {
 
-/// What all gateways together may send to a cold upstream within any second.
+/// The bound on the requests that all gateways together send to a cold upstream
+/// within any second: Ratio times the rate that the upstream can process, plus
+/// Slack.
 struct cold_bounds {
-  double Ratio = 1; ///< Of the requests a second that it bears.
-  double Slack = 0; ///< Beside the ratio.
+  double Ratio = 1;
+  double Slack = 0;
 };
 
-/// The gateways that may send to one cold upstream, as one of them sees them.
+/// The gateways that may send to a cold upstream, as one of them sees them.
 struct warming_circle {
-  size_t Gateways = 0; ///< With this one; 0: not known.
-  size_t Rank = 0;     ///< Of this one; another for each upstream.
+  /// The number of gateways including this one; 0 if it is not known.
+  size_t Gateways = 0;
+  /// The rank of this gateway, from 0. It differs between upstreams, so that
+  /// the remainder of the division goes to different gateways.
+  size_t Rank = 0;
 };
 
-/// Requests a second that this gateway may send to an upstream that bears
-/// \p RequestsPerSecond while it is cold; 0: none.
+/// The rate in requests per second at which this gateway may send to a cold
+/// upstream that can process \p RequestsPerSecond; 0: it must not send at all.
 double warmingShare(double RequestsPerSecond, cold_bounds Bounds,
-                    warming_circle Circle);
+                    warming_circle Group);
 
-/// Keeps one gateway's requests to one cold upstream apart.
+/// Spaces out one gateway's requests to one cold upstream. Times are
+/// steady-clock seconds.
 class warming_pace {
 public:
   bool allows(double Now) const { return Now >= NextAt; }
-  /// When it allows the next one, by the steady clock.
+  /// The time from which the next request is allowed.
   double nextAt() const { return NextAt; }
-  /// \p Share: requests a second, over 0.
-  void sent(double Now, double Share);
+  /// Records a request. \p Rate: in requests per second, above 0.
+  void sent(double Now, double Rate);
+  /// Allows no request before \p Then.
   void waitUntil(double Then) { NextAt = Then; }
 
 private:
   double NextAt = 0;
 };
 
-/// What a gateway sent before it started may count for so many seconds.
+/// After its start a gateway sends nothing to cold upstreams for this long: the
+/// bound applies to any second, and the gateway does not know what it sent
+/// before the restart.
 constexpr double ForgottenSeconds = 1.1;
 
 } // namespace olivevalve
