--- a/policy/guard.cpp
+++ b/policy/guard.cpp
@@ -1,4 +1,4 @@
-//===- guard.cpp - Tells a bad version from a good one --------------------===//
+//===- guard.cpp - Quality tests of versions ------------------------------===//
 
 #include "policy/guard.h"
 #include <algorithm>
@@ -8,13 +8,15 @@
 
 namespace {
 
-// Answers earned by each rating that came back: above 1, so that a good
-// version's traffic grows by this factor with every round of ratings.
+// Additional answers allowed for each rated answer. Above 1, so that the
+// traffic of a good version grows by this factor with every round of ratings.
 constexpr double GrowthPerRating = 2.0;
-// With fewer ratings than this share the growth would be unbounded.
-constexpr double LeastRatedShare = 0.05;
-// Evidence at which growth halts, long before the stop.
-constexpr double DoubtEvidence = 5;
+// Lower bound on the share of rated answers, by which the number of ratings is
+// divided; without it, the allowance would grow without bound.
+constexpr double MinRatedShare = 0.05;
+// Evidence from which the traffic does not grow any more, far below the
+// evidence that stops the version.
+constexpr double GrowthHaltEvidence = 5;
 
 double average(const auto &Values) {
   return std::accumulate(Values.begin(), Values.end(), 0.0) /
@@ -23,16 +25,17 @@
 
 } // namespace
 
-// A bet of Lambda pays 1 + Lambda * (Reference - Score): never below 0, and
-// at most 1 on average if the mean score is at least Reference.
+// A bet of size Lambda multiplies the wealth by
+// 1 + Lambda * (Reference - Score). The factor is never below 0, and its mean
+// is at most 1 if the mean score is at least Reference.
 void score_test::add(double Score, double Reference) {
   Score = std::clamp(Score, 0.0, 1.0);
   Reference = std::clamp(Reference, 0.01, 0.99);
   double Largest = 1 / (1 - Reference);
   for (size_t I = 0; I < Bets.size(); ++I) {
-    double Pays = 1 + Bets[I] * Largest * (Reference - Score);
-    Wealth[I] = std::min(Wealth[I] * Pays, 1e100);
-    Recent[I] = std::min(std::max(Recent[I], 1.0) * Pays, 1e100);
+    double Factor = 1 + Bets[I] * Largest * (Reference - Score);
+    Wealth[I] = std::min(Wealth[I] * Factor, 1e100);
+    Recent[I] = std::min(std::max(Recent[I], 1.0) * Factor, 1e100);
   }
   ++Ratings;
 }
@@ -48,7 +51,8 @@
 
 double score_test::recentEvidence() const { return average(Recent); }
 
-// Wealth is a product over ratings: that of all is the product of the parts.
+// The wealth is a product over ratings, so the wealth of several tests with
+// disjoint ratings is the product of theirs.
 double score_test::combined(const std::vector<const score_test *> &Tests) {
   wealth All = {1, 1, 1, 1};
   for (const score_test *Test : Tests)
@@ -70,10 +74,10 @@
 }
 
 double exposureAllowance(const exposure_input &Input) {
-  double Share = std::max(Input.RatedShare, LeastRatedShare);
-  double Growth = Input.Evidence > DoubtEvidence ? 1.0 : GrowthPerRating;
-  double Earned = Growth * Input.Ratings / Share;
-  return std::max(0.0, Input.Budget + Earned - Input.Answers);
+  double Share = std::max(Input.RatedShare, MinRatedShare);
+  double Growth = Input.Evidence > GrowthHaltEvidence ? 1.0 : GrowthPerRating;
+  double Allowed = Growth * Input.Ratings / Share;
+  return std::max(0.0, Input.Budget + Allowed - Input.Answers);
 }
 
 } // namespace olivevalve
--- a/policy/replica_choice.cpp
+++ b/policy/replica_choice.cpp
@@ -1,4 +1,4 @@
-//===- replica_choice.cpp - Which upstream runs it ------------------------===//
+//===- replica_choice.cpp - Which upstream runs a request -----------------===//
 
 #include "policy/replica_choice.h"
 #include <algorithm>
@@ -8,35 +8,39 @@
 
 namespace {
 
-// Failures in a row that open the breaker, and its pauses.
+// The number of consecutive failures that opens the breaker, and the bounds of
+// its pauses.
 constexpr uint32_t FailuresToOpen = 3;
-constexpr double FirstPause = 0.5;
-constexpr double LongestPause = 10;
-// News of others' load loses its worth with this time constant, seconds.
-constexpr double NewsLife = 2.0;
-// A queued request waits for a slot: it weighs more than a running one.
+constexpr double MinPauseSeconds = 0.5;
+constexpr double MaxPauseSeconds = 10;
+// Time constant of the exponential decay of a report's weight.
+constexpr double ReportDecaySeconds = 2.0;
+// Weight of a queued request relative to a running one: it also has to wait for
+// a slot.
 constexpr double QueuedWeight = 2.0;
-// Load per slot that another data hall's trip is worth.
+// Added to the load per slot of an upstream in another data hall.
 constexpr double OtherHallPenalty = 0.25;
-// Load per slot that a warm prompt prefix is worth.
+// Subtracted from the load per slot of the upstream that is preferred for the
+// prompt prefix and may have it in its cache.
 constexpr double PrefixBonus = 0.3;
-// Replicas compared: enough to find a free one, few enough that entries with
-// the same stale news do not all run to the same.
-constexpr size_t Compared = 3;
+// The number of upstreams drawn for comparison: enough to find a free one, but
+// few enough that entries with the same old reports do not all choose the same
+// upstream.
+constexpr size_t SampleSize = 3;
 
-// Load is news when it has moved by this part of the slots. Measured with
-// `bench`, see docs/decisions/0007.
-constexpr uint32_t NewsPart = 2;
+// A load change of 1 / ReportDivisor of the slots is reported. See
+// docs/decisions/0007.
+constexpr uint32_t ReportDivisor = 2;
 
 uint32_t distance(uint32_t A, uint32_t B) { return A > B ? A - B : B - A; }
 
 } // namespace
 
-bool isNews(told_load Told, told_load Now, uint32_t Slots) {
-  uint32_t Step = std::max(1U, Slots / NewsPart);
-  return distance(Told.Running, Now.Running) >= Step ||
-         distance(Told.Queued, Now.Queued) >= Step ||
-         (Told.Queued == 0) != (Now.Queued == 0);
+bool isNews(told_load Reported, told_load Now, uint32_t Slots) {
+  uint32_t Step = std::max(1U, Slots / ReportDivisor);
+  return distance(Reported.Running, Now.Running) >= Step ||
+         distance(Reported.Queued, Now.Queued) >= Step ||
+         (Reported.Queued == 0) != (Now.Queued == 0);
 }
 
 void circuit_breaker::succeeded() {
@@ -49,28 +53,31 @@
   if (Failures < FailuresToOpen)
     return;
   double Doublings = std::min(double(Failures - FailuresToOpen), 6.0);
-  OpenUntil = Now + std::min(FirstPause * std::exp2(Doublings), LongestPause);
+  OpenUntil =
+      Now + std::min(MinPauseSeconds * std::exp2(Doublings), MaxPauseSeconds);
 }
 
-// Moving on pays only towards a free slot: where all are busy it would cost
-// warm prefixes and messages for nothing.
-bool seemsFree(const replica_news &News) {
-  double Trust = std::exp(-News.Age / NewsLife);
-  double Others = std::max(0.0, News.ReportedRunning - News.OwnAtReport);
-  return News.ReportedQueued * Trust < 0.5 &&
-         News.OwnInFlight + Trust * Others + 1 <= News.Slots;
+// Used to decide whether to move a queued request, which pays off only if the
+// other upstream has a free slot. If all are busy, moving costs messages and
+// loses the cached prefix for nothing.
+bool seemsFree(const replica_news &State) {
+  double ReportWeight = std::exp(-State.Age / ReportDecaySeconds);
+  double Others = std::max(0.0, State.ReportedRunning - State.OwnAtReport);
+  return State.ReportedQueued * ReportWeight < 0.5 &&
+         State.OwnInFlight + ReportWeight * Others + 1 <= State.Slots;
 }
 
-double expectedLoad(const replica_news &News) {
-  double Trust = std::exp(-News.Age / NewsLife);
-  double Others = std::max(0.0, News.ReportedRunning - News.OwnAtReport);
-  double Work = News.OwnInFlight + Trust * Others +
-                Trust * QueuedWeight * News.ReportedQueued;
-  double Load = Work / std::max(News.Slots, 1.0);
-  return News.SameHall ? Load : Load + OtherHallPenalty;
+double expectedLoad(const replica_news &State) {
+  double ReportWeight = std::exp(-State.Age / ReportDecaySeconds);
+  double Others = std::max(0.0, State.ReportedRunning - State.OwnAtReport);
+  double Work = State.OwnInFlight + ReportWeight * Others +
+                ReportWeight * QueuedWeight * State.ReportedQueued;
+  double Load = Work / std::max(State.Slots, 1.0);
+  return State.SameHall ? Load : Load + OtherHallPenalty;
 }
 
-// Compares the replica that the prompt prefix prefers with a few at random.
+// Compares the upstream that is preferred for the prompt prefix with a few
+// drawn at random.
 std::optional<size_t> chooseReplica(const std::vector<replica_news> &Replicas,
                                     std::mt19937_64 &Random) {
   if (Replicas.empty())
@@ -82,7 +89,7 @@
   std::uniform_int_distribution<size_t> Any(0, Replicas.size() - 1);
   size_t Best = Preferred;
   double BestLoad = expectedLoad(Replicas[Preferred]) - PrefixBonus;
-  for (size_t Tries = 0; Tries < Compared; ++Tries) {
+  for (size_t Sample = 0; Sample < SampleSize; ++Sample) {
     size_t Other = Any(Random);
     double Load = expectedLoad(Replicas[Other]);
     if (Load < BestLoad) {
--- a/policy/replica_choice.h
+++ b/policy/replica_choice.h
@@ -1,8 +1,10 @@
-//===- replica_choice.h - Which upstream runs it ----------------*- C++ -*-===//
+//===- replica_choice.h - Which upstream runs a request ---------*- C++ -*-===//
 //
-// Picks the upstream from stale news: own requests in flight are known, those
-// of other entries only from the sidecar's last word, which counts less the
-// older it is. A circuit breaker keeps failing upstreams out. Pure.
+// Chooses the upstream of a request that an entry sends through a sidecar. The
+// entry has the number of its own requests in flight exactly. The requests of
+// other entries are known only from the sidecar's last report, which is given
+// less weight the older it is. A circuit breaker excludes upstreams that fail.
+// Pure.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,9 +19,9 @@
 
 namespace olivevalve {
 
-/// Opens after failures in a row, for a pause that doubles while they go on;
-/// an answer closes it. It only says where not to go while there is somewhere
-/// else: when all are open, all are tried.
+/// Opens after several consecutive failures, for a pause that doubles with each
+/// further failure. A success closes it. The caller uses it as a preference
+/// only: when the breakers of all upstreams are open, it tries all of them.
 class circuit_breaker {
 public:
   bool allows(double Now) const { return Now >= OpenUntil; }
@@ -27,44 +29,44 @@
   void failed(double Now);
 
 private:
-  uint32_t Failures = 0;
-  double OpenUntil = 0;
+  uint32_t Failures = 0; ///< Consecutive.
+  double OpenUntil = 0;  ///< Steady-clock seconds.
 };
 
-/// What an entry knows of one upstream at the moment of choice.
+/// What an entry has of an upstream at the moment of the choice.
 struct replica_news {
-  double OwnInFlight = 0;     ///< From this entry, now.
-  double ReportedRunning = 0; ///< By the sidecar, all entries together.
-  double ReportedQueued = 0;
-  double OwnAtReport = 0; ///< Own share of what was reported.
-  double Age = 0;         ///< Seconds since the report.
-  double Slots = 1;
-  double CacheInUse = 0; ///< KV cache, 0 to 1.
-  bool SameHall = true;
+  double OwnInFlight = 0;     ///< Requests of this entry, now.
+  double ReportedRunning = 0; ///< Of all entries, in the sidecar's last report.
+  double ReportedQueued = 0;  ///< Of all entries, in the sidecar's last report.
+  double OwnAtReport = 0;   ///< Requests of this entry when the report arrived.
+  double Age = 0;           ///< Seconds since the report.
+  double Slots = 1;         ///< Requests that the upstream runs concurrently.
+  double CacheInUse = 0;    ///< KV cache usage, 0 to 1.
+  bool SameHall = true;     ///< In the same data hall as the entry.
   uint64_t PrefixScore = 0; ///< Rendezvous hash of prompt prefix and upstream.
 };
 
-/// Expected waiting work per slot; lower is better.
-double expectedLoad(const replica_news &News);
+/// Expected load per slot, where queued requests and another data hall count
+/// for more; lower is better.
+double expectedLoad(const replica_news &State);
 
-/// How often a request that was told to wait may be sent on to another
-/// upstream.
+/// How often a request that was queued may be moved to another upstream.
 constexpr int MostMoves = 2;
 
-/// Load of an upstream as it was told to entries.
+/// The load of an upstream, as its sidecar reports it to entries.
 struct told_load {
   uint32_t Running = 0;
   uint32_t Queued = 0;
 };
 
-/// True if \p Now differs from what was \p Told so much that it changes the
-/// choices of entries.
-bool isNews(told_load Told, told_load Now, uint32_t Slots);
+/// True if \p Now differs enough from the load that was last \p Reported to
+/// change the choices of entries, so that a new report is due.
+bool isNews(told_load Reported, told_load Now, uint32_t Slots);
 
-/// True if work sent now would, by all that is known, not have to wait.
-bool seemsFree(const replica_news &News);
+/// True if a request sent now is expected to start without queueing.
+bool seemsFree(const replica_news &State);
 
-/// The place in \p Replicas to use; none if it is empty.
+/// The index in \p Replicas of the upstream to use; none if it is empty.
 std::optional<size_t> chooseReplica(const std::vector<replica_news> &Replicas,
                                     std::mt19937_64 &Random);
 
--- a/policy/service_guard.cpp
+++ b/policy/service_guard.cpp
@@ -1,4 +1,4 @@
-//===- service_guard.cpp - When a new software version may go on ----------===//
+//===- service_guard.cpp - Roll-out decisions for services ----------------===//
 
 #include "policy/service_guard.h"
 #include <algorithm>
@@ -7,23 +7,26 @@
 
 namespace {
 
-// All traffic goes to the new version only for the last part of the time: a
-// version that turns bad late must not have had much more than a tenth of the
-// requests until the deadline. Requests that run at the old version when the
-// shift begins have until the end of it.
+// The new version gets all new traffic only in this last share of the time,
+// bounded in seconds: a version that starts to fail late must not have received
+// much more than a tenth of the requests by the deadline. Requests that are in
+// progress at the old version when the shift begins have until its end to
+// finish.
 constexpr double ShiftShare = 0.08;
 constexpr double MaxShiftSeconds = 2.0;
-// Left between completion and the deadline for the change to be agreed on and
-// read: a new leader needs about 2 s.
-constexpr double SpareShare = 0.1;
-constexpr double MaxSpareSeconds = 2.0;
+// Time between completion and the deadline, in which the change is committed
+// and distributed: a new leader needs about 2 s.
+constexpr double MarginShare = 0.1;
+constexpr double MaxMarginSeconds = 2.0;
 
-// Fewer failures say nothing: services fail some requests on their own.
-constexpr uint64_t LeastFailures = 5;
+// With fewer failures the error rates are not compared, because services also
+// fail some requests without a fault of the version.
+constexpr uint64_t MinFailures = 5;
 constexpr double FailureFactor = 2.5;
 constexpr double FailureMargin = 0.08;
-// Fewer answers say nothing of times, which vary with the size of a request.
-constexpr uint64_t LeastTimed = 12;
+// With fewer responses the latencies are not compared, because they vary with
+// the size of the requests.
+constexpr uint64_t MinTimedAnswers = 12;
 constexpr double SlowFactor = 2.5;
 constexpr double SlowMarginSeconds = 0.05;
 
@@ -31,28 +34,28 @@
   return Whole ? double(Part) / double(Whole) : 0;
 }
 
-bool failsMore(const version_tally &New, const version_tally &Old) {
-  double Usual = share(Old.Failures, Old.Answers);
-  return New.Failures >= LeastFailures &&
+bool hasHigherErrorRate(const version_tally &New, const version_tally &Old) {
+  double OldRate = share(Old.Failures, Old.Answers);
+  return New.Failures >= MinFailures &&
          share(New.Failures, New.Answers) >
-             Usual * FailureFactor + FailureMargin;
+             OldRate * FailureFactor + FailureMargin;
 }
 
 bool isSlower(const version_tally &New, const version_tally &Old) {
-  if (New.Answers < LeastTimed || Old.Answers < LeastTimed)
+  if (New.Answers < MinTimedAnswers || Old.Answers < MinTimedAnswers)
     return false;
   return New.Seconds / double(New.Answers) >
          SlowFactor * Old.Seconds / double(Old.Answers) + SlowMarginSeconds;
 }
 
-double spare(double Duration) {
-  return std::min(MaxSpareSeconds, Duration * SpareShare);
+double marginSeconds(double Duration) {
+  return std::min(MaxMarginSeconds, Duration * MarginShare);
 }
 
 } // namespace
 
 double completeAt(double DurationSeconds) {
-  return DurationSeconds - spare(DurationSeconds);
+  return DurationSeconds - marginSeconds(DurationSeconds);
 }
 
 double shiftAt(double DurationSeconds) {
@@ -60,21 +63,22 @@
          std::min(MaxShiftSeconds, DurationSeconds * ShiftShare);
 }
 
-rollout_judgement judgeRollout(const rollout_facts &Facts) {
-  if (failsMore(Facts.New, Facts.Old))
+rollout_judgement judgeRollout(const rollout_facts &Input) {
+  if (hasHigherErrorRate(Input.New, Input.Old))
     return {rollout_verdict::Revert, "fails more than the version before"};
-  if (isSlower(Facts.New, Facts.Old))
+  if (isSlower(Input.New, Input.Old))
     return {rollout_verdict::Revert, "is slower than the version before"};
-  bool IsCanary = Facts.Stand == rollout_stand::Canary;
-  bool Tried = Facts.New.Answers > 0;
-  if (Facts.ElapsedSeconds >= completeAt(Facts.DurationSeconds) && !IsCanary)
-    return Tried ? rollout_judgement{rollout_verdict::Complete, "is sound"}
-                 : rollout_judgement{rollout_verdict::Revert,
-                                     "has given no answer"};
-  if (Facts.ElapsedSeconds >= shiftAt(Facts.DurationSeconds) && IsCanary)
-    return Tried ? rollout_judgement{rollout_verdict::Shift, "is sound so far"}
-                 : rollout_judgement{rollout_verdict::Revert,
-                                     "has given no answer"};
+  bool IsCanary = Input.Stand == rollout_stand::Canary;
+  bool HasAnswers = Input.New.Answers > 0;
+  if (Input.ElapsedSeconds >= completeAt(Input.DurationSeconds) && !IsCanary)
+    return HasAnswers ? rollout_judgement{rollout_verdict::Complete, "is sound"}
+                      : rollout_judgement{rollout_verdict::Revert,
+                                          "has given no answer"};
+  if (Input.ElapsedSeconds >= shiftAt(Input.DurationSeconds) && IsCanary)
+    return HasAnswers
+               ? rollout_judgement{rollout_verdict::Shift, "is sound so far"}
+               : rollout_judgement{rollout_verdict::Revert,
+                                   "has given no answer"};
   return {};
 }
 
--- a/policy/service_guard.h
+++ b/policy/service_guard.h
@@ -1,7 +1,7 @@
-//===- service_guard.h - When a new software version may go on --*- C++ -*-===//
+//===- service_guard.h - Roll-out decisions for services --------*- C++ -*-===//
 //
-// Judges a roll-out of a service's software from the status and time of its
-// answers. Pure: counts and times are passed in.
+// Decides about the roll-out of a new software version of a service from the
+// status and latency of its responses. Pure: counts and times are passed in.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,12 +13,11 @@
 
 namespace olivevalve {
 
-/// Answers of a version: how many, how many failed, and the sum of the times to
-/// their first byte.
+/// Counts of a version's responses.
 struct version_tally {
   uint64_t Answers = 0;
   uint64_t Failures = 0;
-  double Seconds = 0;
+  double Seconds = 0; ///< Sum of the times to first byte.
 
   version_tally &operator+=(const version_tally &Other) {
     Answers += Other.Answers;
@@ -32,32 +31,37 @@
   }
 };
 
+/// Canary: the new version gets a small share of the new sessions. Shift: it
+/// gets everything new.
 enum class rollout_stand : uint8_t { Canary, Shift };
 
+/// The input of judgeRollout().
 struct rollout_facts {
   rollout_stand Stand = rollout_stand::Canary;
-  double ElapsedSeconds = 0;  ///< Since the order.
-  double DurationSeconds = 0; ///< To be completed or reverted within.
-  version_tally New;          ///< Since the order.
-  version_tally Old;
+  double ElapsedSeconds = 0; ///< Since the roll-out was ordered.
+  /// Time from the order within which the roll-out must be completed or
+  /// reverted.
+  double DurationSeconds = 0;
+  version_tally New; ///< Responses of the new version since the order.
+  version_tally Old; ///< Responses of the other versions since the order.
 };
 
 enum class rollout_verdict : uint8_t { Stay, Shift, Complete, Revert };
 
 struct rollout_judgement {
   rollout_verdict Verdict = rollout_verdict::Stay;
-  std::string_view Reason;
+  std::string_view Reason; ///< For operators; empty for Stay.
 };
 
-/// Share of new sessions that the new version gets while it is tried.
+/// Share of new sessions that the new version gets in the canary phase.
 constexpr double CanaryShare = 0.06;
 
-/// Seconds from the order after which everything new goes to the new version,
-/// and after which the roll-out is completed.
+/// Seconds from the order to the shift of all new traffic.
 double shiftAt(double DurationSeconds);
+/// Seconds from the order to the completion of the roll-out.
 double completeAt(double DurationSeconds);
 
-rollout_judgement judgeRollout(const rollout_facts &Facts);
+rollout_judgement judgeRollout(const rollout_facts &Input);
 
 } // namespace olivevalve
 
--- a/policy/version_choice.cpp
+++ b/policy/version_choice.cpp
@@ -9,24 +9,26 @@
 
 namespace {
 
-// Share of eligible requests that a rolling version gets while it has
-// allowance: learning is fast, yet no burst of callers meets it alone.
+// Share of requests that a version which is rolling out gets while it has an
+// allowance. Ratings arrive fast enough, but in a burst of requests most still
+// go to other versions.
 constexpr double RollingShare = 0.25;
-// The target is aimed at from this far above, in standard errors of the arms
-// used, so that the mean of answers meets it and not only its expectation.
+// The mix aims above the target by this many standard errors of its arms, so
+// that the mean of the answers meets the target and not only its expectation.
 constexpr double SafetyErrors = 0.7;
-// An arm is worth exploring while its quality might be this many errors
-// above its estimate.
-constexpr double HopefulErrors = 2.0;
-// Prior share of requests that a cascade escalates.
+// An arm is worth exploring if its estimated quality plus this many standard
+// errors reaches the target.
+constexpr double OptimismErrors = 2.0;
+// Share of requests that a cascade is assumed to escalate, for its prior cost.
 constexpr double PriorEscalations = 0.4;
-// Ratings this far below the target escalate: a first answer a little below
-// it is made up for by others.
+// Ratings below the target by more than this escalate. A first answer that is
+// only slightly below the target is compensated by better ones.
 constexpr double EscalationMargin = 0.1;
 
-// Prepared choices held: cells of templates and client accounts, with and
-// without a cascade, while versions roll in and out; a kilobyte each.
-constexpr size_t MostPrepared = 2000;
+// Bound on the cache, of about 1 KB per choice. The choices are for cells of
+// template and client account, with and without a cascade, and for each set of
+// versions as versions roll out and are withdrawn.
+constexpr size_t MaxCachedChoices = 2000;
 
 double uniform(std::mt19937_64 &Random) {
   return std::uniform_real_distribution<double>(0, 1)(Random);
@@ -37,27 +39,28 @@
   estimate Estimate;
 };
 
-/// Two arms (or one twice) and how often the better one is used.
+/// Indexes of two arms, which may be the same, and the share of requests that
+/// get the better one.
 struct mix {
   size_t Cheap = 0;
   size_t Better = 0;
   double BetterShare = 0;
 };
 
-std::vector<scored_arm> scoreArms(const choice_question &Question,
+std::vector<scored_arm> scoreArms(const choice_question &Input,
                                   const estimates &Estimates) {
   std::vector<scored_arm> Arms;
   auto Add = [&](const arm &Arm, double PriorCost) {
-    estimate_key Key{Question.Template, Question.Account, Arm};
+    estimate_key Key{Input.Template, Input.Account, Arm};
     Arms.push_back({Arm, Estimates.of(Key, PriorCost)});
   };
-  for (const version_candidate &Candidate : Question.Candidates)
+  for (const version_candidate &Candidate : Input.Candidates)
     if (!Candidate.Rolling)
       Add({Candidate.Name, {}}, Candidate.PriorCost);
-  if (!Question.MayCascade)
+  if (!Input.MayCascade)
     return Arms;
-  for (const version_candidate &First : Question.Candidates)
-    for (const version_candidate &Second : Question.Candidates)
+  for (const version_candidate &First : Input.Candidates)
+    for (const version_candidate &Second : Input.Candidates)
       if (!First.Rolling && !Second.Rolling &&
           First.PriorCost < Second.PriorCost)
         Add({First.Name, Second.Name},
@@ -65,21 +68,22 @@
   return Arms;
 }
 
-// Leaves out arms that another one beats in quality, error and cost alike: no
-// mix is better for them, and what is left are a dozen of up to a hundred.
-void dropBeaten(std::vector<scored_arm> &Arms) {
+// Removes arms that are dominated by another arm in quality, error and cost. No
+// mix with a dominated arm is better, and about a dozen of up to a hundred arms
+// remain.
+void removeDominated(std::vector<scored_arm> &Arms) {
   std::stable_sort(Arms.begin(), Arms.end(), [](const auto &A, const auto &B) {
     return A.Estimate.Cost < B.Estimate.Cost;
   });
   size_t Kept = 0;
   for (size_t I = 0; I < Arms.size(); ++I) {
     const estimate &E = Arms[I].Estimate;
-    bool Beaten = std::any_of(Arms.begin(), Arms.begin() + int64_t(Kept),
-                              [&](const auto &Other) {
-                                return Other.Estimate.Quality >= E.Quality &&
-                                       Other.Estimate.Error <= E.Error;
-                              });
-    if (Beaten)
+    bool Dominated = std::any_of(Arms.begin(), Arms.begin() + int64_t(Kept),
+                                 [&](const auto &Other) {
+                                   return Other.Estimate.Quality >= E.Quality &&
+                                          Other.Estimate.Error <= E.Error;
+                                 });
+    if (Dominated)
       continue;
     if (Kept != I)
       Arms[Kept] = std::move(Arms[I]);
@@ -88,8 +92,9 @@
   Arms.resize(Kept);
 }
 
-// The target lies on an edge between an arm below it and an arm above it; the
-// cheapest such edge is the best that mixing can do. None if no arm reaches it.
+// Finds the cheapest pair of an arm below the target and an arm above it, mixed
+// so that the expected quality is the target, or a cheaper single arm above it.
+// Returns none if no arm reaches the target.
 std::optional<mix> cheapestMix(const std::vector<scored_arm> &Arms,
                                double Target) {
   mix Best;
@@ -122,10 +127,11 @@
   return Best;
 }
 
-// For a target that no arm reaches. Of arms that nothing is known of the first
-// listed counts, a version alone: with the cheapest, a cascade, the first
-// ratings would teach less.
-size_t bestAlone(const std::vector<scored_arm> &Arms) {
+// Used for a target that no arm reaches: the arm of the highest quality. Of
+// equal arms the first in the list is used, so that without any ratings it is a
+// single version. The cheapest arm may be a cascade, from which the first
+// ratings would give less information.
+size_t highestQuality(const std::vector<scored_arm> &Arms) {
   size_t Best = 0;
   for (size_t I = 1; I < Arms.size(); ++I)
     if (Arms[I].Estimate.Quality > Arms[Best].Estimate.Quality)
@@ -133,70 +139,70 @@
   return Best;
 }
 
-// An arm that is cheaper than what the mix pays, and might well be good
-// enough, deserves a few requests; so does one that was never rated.
-std::optional<size_t> worthExploring(const std::vector<scored_arm> &Arms,
-                                     double MixCost, double Target) {
+// Finds the least rated arm that might reach the target and is either cheaper
+// than the mix or was never rated.
+std::optional<size_t> armToExplore(const std::vector<scored_arm> &Arms,
+                                   double MixCost, double Target) {
   std::optional<size_t> Best;
   for (size_t I = 0; I < Arms.size(); ++I) {
     const estimate &E = Arms[I].Estimate;
-    bool Hopeful = E.Quality + HopefulErrors * E.Error >= Target;
-    bool Useful = Hopeful && (E.Cost < MixCost || E.Ratings < 1);
+    bool MayReach = E.Quality + OptimismErrors * E.Error >= Target;
+    bool Useful = MayReach && (E.Cost < MixCost || E.Ratings < 1);
     if (Useful && (!Best || E.Ratings < Arms[*Best].Estimate.Ratings))
       Best = I;
   }
   return Best;
 }
 
-prepared_choice prepare(const choice_question &Question,
-                        const estimates &Estimates) {
-  prepared_choice Choice{.EstimatesChange = Estimates.change(),
-                         .Template = Question.Template,
-                         .Account = Question.Account};
-  for (const version_candidate &Candidate : Question.Candidates)
+cached_choice prepare(const choice_question &Input,
+                      const estimates &Estimates) {
+  cached_choice Choice{.EstimatesRevision = Estimates.change(),
+                       .Template = Input.Template,
+                       .Account = Input.Account};
+  for (const version_candidate &Candidate : Input.Candidates)
     Choice.Candidates.push_back(Candidate.Name);
-  std::vector<scored_arm> All = scoreArms(Question, Estimates);
+  std::vector<scored_arm> All = scoreArms(Input, Estimates);
   std::vector<scored_arm> Arms = All;
-  dropBeaten(Arms);
-  auto Mix = cheapestMix(Arms, Question.QualityTarget);
-  const scored_arm &Alone = All[bestAlone(All)];
-  const scored_arm &Cheap = Mix ? Arms[Mix->Cheap] : Alone;
-  const scored_arm &Better = Mix ? Arms[Mix->Better] : Alone;
+  removeDominated(Arms);
+  auto Mix = cheapestMix(Arms, Input.QualityTarget);
+  const scored_arm &Highest = All[highestQuality(All)];
+  const scored_arm &Cheap = Mix ? Arms[Mix->Cheap] : Highest;
+  const scored_arm &Better = Mix ? Arms[Mix->Better] : Highest;
   Choice.BetterShare = Mix ? Mix->BetterShare : 0;
   Choice.Cheap = Cheap.Arm;
   Choice.Better = Better.Arm;
   double MixCost = (1 - Choice.BetterShare) * Cheap.Estimate.Cost +
                    Choice.BetterShare * Better.Estimate.Cost;
-  if (auto I = worthExploring(All, MixCost, Question.QualityTarget))
+  if (auto I = armToExplore(All, MixCost, Input.QualityTarget))
     Choice.Explore = All[*I].Arm;
   return Choice;
 }
 
-uint64_t hashOf(const choice_question &Question) {
-  uint64_t Hash = checksum(Question.Template, Question.MayCascade ? 1 : 0);
-  Hash = checksum(Question.Account, Hash);
-  Hash = checksum({reinterpret_cast<const char *>(&Question.QualityTarget),
-                   sizeof(Question.QualityTarget)},
+uint64_t hashOf(const choice_question &Input) {
+  uint64_t Hash = checksum(Input.Template, Input.MayCascade ? 1 : 0);
+  Hash = checksum(Input.Account, Hash);
+  Hash = checksum({reinterpret_cast<const char *>(&Input.QualityTarget),
+                   sizeof(Input.QualityTarget)},
                   Hash);
-  for (const version_candidate &Candidate : Question.Candidates) {
+  for (const version_candidate &Candidate : Input.Candidates) {
     Hash = checksum(Candidate.Name.Model, Hash);
     Hash = checksum(Candidate.Name.Version, Hash + Candidate.Rolling);
   }
   return Hash;
 }
 
-// A hash may stand for two questions; an account must not get the other's arms.
-bool isFor(const prepared_choice &Choice, const choice_question &Question) {
-  return Choice.Template == Question.Template &&
-         Choice.Account == Question.Account &&
+// Different inputs may have the same hash; a client account must not get the
+// arms of another one.
+bool matches(const cached_choice &Choice, const choice_question &Input) {
+  return Choice.Template == Input.Template && Choice.Account == Input.Account &&
          std::equal(Choice.Candidates.begin(), Choice.Candidates.end(),
-                    Question.Candidates.begin(), Question.Candidates.end(),
+                    Input.Candidates.begin(), Input.Candidates.end(),
                     [](const version_name &Name, const version_candidate &C) {
                       return Name == C.Name;
                     });
 }
 
-choice_answer chooseCheapest(const prepared_choice &Choice, double Explore,
+choice_answer chooseCheapest(const cached_choice &Choice, double Explore,
                              std::mt19937_64 &Random) {
   if (uniform(Random) < Explore && Choice.Explore)
     return {*Choice.Explore, true, false};
@@ -204,80 +210,80 @@
   return {Better ? Choice.Better : Choice.Cheap, false, false};
 }
 
-choice_answer chooseSplit(const choice_question &Question,
+choice_answer chooseSplit(const choice_question &Input,
                           const std::vector<double> &Weights,
                           std::mt19937_64 &Random) {
   double Total = 0;
-  for (size_t I = 0; I < Question.Candidates.size(); ++I)
+  for (size_t I = 0; I < Input.Candidates.size(); ++I)
     Total += I < Weights.size() ? Weights[I] : 1;
-  double Left = uniform(Random) * Total;
-  for (size_t I = 0; I < Question.Candidates.size(); ++I) {
-    Left -= I < Weights.size() ? Weights[I] : 1;
-    if (Left < 0)
-      return {{Question.Candidates[I].Name, {}}, false, false};
+  double Remaining = uniform(Random) * Total;
+  for (size_t I = 0; I < Input.Candidates.size(); ++I) {
+    Remaining -= I < Weights.size() ? Weights[I] : 1;
+    if (Remaining < 0)
+      return {{Input.Candidates[I].Name, {}}, false, false};
   }
-  return {{Question.Candidates.back().Name, {}}, false, false};
+  return {{Input.Candidates.back().Name, {}}, false, false};
 }
 
-choice_answer chooseCascade(const choice_question &Question) {
-  const auto &All = Question.Candidates;
+choice_answer chooseCascade(const choice_question &Input) {
+  const auto &All = Input.Candidates;
   auto Cheaper = [](const auto &A, const auto &B) {
     return A.PriorCost < B.PriorCost;
   };
   const auto [Low, High] = std::minmax_element(All.begin(), All.end(), Cheaper);
-  if (!Question.MayCascade || Low == High)
+  if (!Input.MayCascade || Low == High)
     return {{High->Name, {}}, false, false};
   return {{Low->Name, High->Name}, false, false};
 }
 
 struct policy_visitor {
-  const choice_question &Question;
+  const choice_question &Input;
   const estimates &Estimates;
-  prepared_choices &Prepared;
+  prepared_choices &Cache;
   std::mt19937_64 &Random;
 
   choice_answer operator()(const fixed_policy &) const {
-    return {{Question.Candidates.front().Name, {}}, false, false};
+    return {{Input.Candidates.front().Name, {}}, false, false};
   }
   choice_answer operator()(const split_policy &Policy) const {
-    return chooseSplit(Question, Policy.Weights, Random);
+    return chooseSplit(Input, Policy.Weights, Random);
   }
   choice_answer operator()(const cheapest_policy &Policy) const {
-    return chooseCheapest(Prepared.of(Question, Estimates), Policy.ExploreShare,
+    return chooseCheapest(Cache.of(Input, Estimates), Policy.ExploreShare,
                           Random);
   }
   choice_answer operator()(const cascade_policy &) const {
-    return chooseCascade(Question);
+    return chooseCascade(Input);
   }
 };
 
 } // namespace
 
-double escalationThreshold(const choice_question &Question) {
-  if (const auto *Cascade = std::get_if<cascade_policy>(&Question.Policy))
+double escalationThreshold(const choice_question &Input) {
+  if (const auto *Cascade = std::get_if<cascade_policy>(&Input.Policy))
     return Cascade->Threshold;
-  return Question.QualityTarget - EscalationMargin;
+  return Input.QualityTarget - EscalationMargin;
 }
 
-const prepared_choice &prepared_choices::of(const choice_question &Question,
-                                            const estimates &Estimates) {
-  uint64_t Hash = hashOf(Question);
+const cached_choice &prepared_choices::of(const choice_question &Input,
+                                          const estimates &Estimates) {
+  uint64_t Hash = hashOf(Input);
   auto It = Choices.find(Hash);
-  bool Good = It != Choices.end() &&
-              It->second.EstimatesChange == Estimates.change() &&
-              isFor(It->second, Question);
-  if (Good)
+  bool Valid = It != Choices.end() &&
+               It->second.EstimatesRevision == Estimates.change() &&
+               matches(It->second, Input);
+  if (Valid)
     return It->second;
-  if (Choices.size() >= MostPrepared)
+  if (Choices.size() >= MaxCachedChoices)
     Choices.clear();
-  return Choices[Hash] = prepare(Question, Estimates);
+  return Choices[Hash] = prepare(Input, Estimates);
 }
 
-std::optional<choice_answer> chooseArm(const choice_question &Question,
+std::optional<choice_answer> chooseArm(const choice_question &Input,
                                        const estimates &Estimates,
-                                       prepared_choices &Prepared,
+                                       prepared_choices &Cache,
                                        std::mt19937_64 &Random) {
-  const auto &All = Question.Candidates;
+  const auto &All = Input.Candidates;
   auto IsRolling = [](const auto &Candidate) { return Candidate.Rolling; };
   size_t Rolling = size_t(std::count_if(All.begin(), All.end(), IsRolling));
   for (const version_candidate &Candidate : All) {
@@ -288,13 +294,13 @@
   }
   if (Rolling == All.size())
     return std::nullopt;
-  policy_visitor Visitor{Question, Estimates, Prepared, Random};
+  policy_visitor Visitor{Input, Estimates, Cache, Random};
   if (Rolling == 0)
-    return std::visit(Visitor, Question.Policy);
-  choice_question Settled = Question;
-  std::erase_if(Settled.Candidates, IsRolling);
-  return std::visit(policy_visitor{Settled, Estimates, Prepared, Random},
-                    Settled.Policy);
+    return std::visit(Visitor, Input.Policy);
+  choice_question NotRolling = Input;
+  std::erase_if(NotRolling.Candidates, IsRolling);
+  return std::visit(policy_visitor{NotRolling, Estimates, Cache, Random},
+                    NotRolling.Policy);
 }
 
 } // namespace olivevalve
--- a/policy/version_choice.h
+++ b/policy/version_choice.h
@@ -1,9 +1,10 @@
 //===- version_choice.h - Which version answers -----------------*- C++ -*-===//
 //
-// Picks the arm for a request: the cheapest mix of arms whose expected quality
-// meets the target, a little exploration of arms that might be cheaper, and
-// rolling versions inside their exposure budget. Pure: news and random numbers
-// are passed in.
+// Chooses the arm for a request: a model version, or a cascade of two. Uses the
+// cheapest mix of arms whose expected quality meets the target, sends a small
+// share of requests to arms that might be cheaper, and gives versions that are
+// rolling out requests within their exposure budget. Pure: estimates and random
+// numbers are passed in.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,62 +20,72 @@
 
 namespace olivevalve {
 
-/// One candidate and what is known of it.
+/// A version that may answer the request.
 struct version_candidate {
   version_name Name;
-  bool Rolling = false;
-  double Allowance = 0; ///< Answers this entry may still give, if Rolling.
-  double PriorCost = 1; ///< From its prices, for an answer of usual size.
+  bool Rolling = false; ///< It is rolling out.
+  /// The number of answers that this entry may still get from it; used only for
+  /// versions that are rolling out.
+  double Allowance = 0;
+  /// Cost of an answer of usual length at the version's prices, used until
+  /// costs are observed.
+  double PriorCost = 1;
 };
 
+/// The input of chooseArm().
 struct choice_question {
   std::string Template;
   std::string Account;
-  double QualityTarget = 0.8;
+  double QualityTarget = 0.8; ///< Expected rating to reach, 0 to 1.
   version_policy Policy;
   std::vector<version_candidate> Candidates; ///< In the template's order.
-  bool MayCascade = false; ///< Not streamed, repeatable, time left.
+  /// A cascade is possible: the response is not streamed, ratings are enabled,
+  /// and the request has no session and no idempotency key.
+  bool MayCascade = false;
 };
 
+/// The result of chooseArm().
 struct choice_answer {
   arm Arm;
-  bool Exploring = false;
-  bool Rolling = false; ///< Counts against the exposure budget.
+  bool Exploring = false; ///< Chosen to learn more about this arm.
+  bool Rolling = false;   ///< Counts against the exposure budget.
 };
 
-/// The rating below which a cascade goes to its second version.
-/// The cheapest mix of two arms for one cell, worked out once for as long as
-/// the estimates stay as they are. What a version never used costs is taken
-/// from the request it was worked out for.
-struct prepared_choice {
-  uint64_t EstimatesChange = 0; ///< estimates::change() when it was worked out.
+/// The cheapest mix of two arms for one cell (template and client account). It
+/// is valid until the estimates change. The prior costs are those of the
+/// request for which it was computed.
+struct cached_choice {
+  uint64_t EstimatesRevision = 0; ///< Of the estimates that were used.
   std::string Template;
   std::string Account;
   std::vector<version_name> Candidates;
   arm Cheap;
   arm Better;
-  double BetterShare = 0;
-  std::optional<arm> Explore;
+  double BetterShare = 0;     ///< Share of requests that get Better, 0 to 1.
+  std::optional<arm> Explore; ///< The arm to explore; none if no arm is useful.
 };
 
-/// Prepared choices by a hash of the question. An entry keeps one.
+/// A cache of these choices by a hash of the input; an entry process has one.
 class prepared_choices {
 public:
-  /// The choice for \p Question, worked out anew if it is not held or is older
-  /// than \p Estimates.
-  const prepared_choice &of(const choice_question &Question,
-                            const estimates &Estimates);
+  /// Returns the choice for \p Input. Computes it if it is not in the cache or
+  /// if \p Estimates have changed since. The reference is valid until the next
+  /// call.
+  const cached_choice &of(const choice_question &Input,
+                          const estimates &Estimates);
 
 private:
-  absl::flat_hash_map<uint64_t, prepared_choice> Choices;
+  absl::flat_hash_map<uint64_t, cached_choice> Choices;
 };
 
-double escalationThreshold(const choice_question &Question);
+/// The rating below which a cascade asks its second version.
+double escalationThreshold(const choice_question &Input);
 
-/// None only if there is no candidate.
-std::optional<choice_answer> chooseArm(const choice_question &Question,
+/// Returns none if there is no candidate, or if all candidates are rolling out
+/// and none has an allowance left.
+std::optional<choice_answer> chooseArm(const choice_question &Input,
                                        const estimates &Estimates,
-                                       prepared_choices &Prepared,
+                                       prepared_choices &Cache,
                                        std::mt19937_64 &Random);
 
 } // namespace olivevalve
