--- a/policy/answer_tally.cpp
+++ b/policy/answer_tally.cpp
@@ -1,4 +1,4 @@
-//===- answer_tally.cpp - Upstreams that fail more than the others --------===//
+//===- answer_tally.cpp - Upstreams with excess failures ------------------===//
 
 #include "policy/answer_tally.h"
 #include <algorithm>
@@ -8,24 +8,28 @@
 
 namespace {
 
-// Long enough for some answers of each upstream, short enough that one that
-// has recovered is found again.
-constexpr double MemorySeconds = 4;
-constexpr double LeastFailures = 3;
-constexpr double LeastShare = 0.3;
-constexpr double TimesOthers = 3;
-// Where little is known of the others, they are supposed to fail a tenth.
-constexpr double SupposedAnswers = 5;
-constexpr double SupposedFailures = 0.5;
+// Time constant of the discount: long enough for some responses of each
+// upstream, short enough that a recovered upstream is soon used again.
+constexpr double DecaySeconds = 4;
+// An upstream has excess failures if it has at least this many, its failure
+// rate exceeds the minimum, and the rate is this many times that of the others.
+constexpr double MinFailures = 3;
+constexpr double MinFailureRate = 0.3;
+constexpr double MinRateRatio = 3;
+// Prior counts for the others: with few responses they are assumed to fail one
+// in ten.
+constexpr double PriorAnswers = 5;
+constexpr double PriorFailures = 0.5;
 
 } // namespace
 
 answer_counts answer_tally::at(double Now) const {
-  double Kept = std::exp(-std::max(0.0, Now - CountedAt) / MemorySeconds);
-  return {.Answers = Counts.Answers * Kept, .Failures = Counts.Failures * Kept};
+  double Weight = std::exp(-std::max(0.0, Now - CountedAt) / DecaySeconds);
+  return {.Answers = Counts.Answers * Weight,
+          .Failures = Counts.Failures * Weight};
 }
 
-bool answer_tally::mayFail() const { return Counts.Failures >= LeastFailures; }
+bool answer_tally::mayFail() const { return Counts.Failures >= MinFailures; }
 
 void answer_tally::add(uint32_t Answers, uint32_t Failures, double Now) {
   Counts = at(Now);
@@ -35,12 +39,12 @@
 }
 
 bool failsMore(const answer_counts &One, const answer_counts &Others) {
-  if (One.Failures < LeastFailures)
+  if (One.Failures < MinFailures)
     return false;
-  double Share = One.Failures / One.Answers;
-  double OthersShare =
-      (Others.Failures + SupposedFailures) / (Others.Answers + SupposedAnswers);
-  return Share > std::max(LeastShare, TimesOthers * OthersShare);
+  double Rate = One.Failures / One.Answers;
+  double OthersRate =
+      (Others.Failures + PriorFailures) / (Others.Answers + PriorAnswers);
+  return Rate > std::max(MinFailureRate, MinRateRatio * OthersRate);
 }
 
 } // namespace olivevalve
--- a/policy/answer_tally.h
+++ b/policy/answer_tally.h
@@ -1,8 +1,9 @@
-//===- answer_tally.h - Upstreams that fail more than the others -*- C++ -*-==//
+//===- answer_tally.h - Upstreams with excess failures ----------*- C++ -*-===//
 //
-// An upstream that fails its requests at once, healthy as it looks, seems the
-// least loaded and draws most of them. Its answers of the last seconds are held
-// against those of the others: what all fail alike is the requests' matter.
+// An upstream that fails its requests immediately, although its health checks
+// pass, appears to be the least loaded and attracts most requests. To detect
+// it, its responses of the last seconds are compared with those of the other
+// upstreams: failures that occur at all upstreams are caused by the requests.
 // Pure.
 //
 //===----------------------------------------------------------------------===//
@@ -14,27 +15,31 @@
 
 namespace olivevalve {
 
-/// Answers, and how many of them were failures.
+/// A number of responses and the failures among them, discounted by age.
 struct answer_counts {
   double Answers = 0;
   double Failures = 0;
 };
 
-/// The answers of one upstream; older ones count for less.
+/// Counts of one upstream's responses. Old responses are discounted
+/// exponentially.
 class answer_tally {
 public:
+  /// Adds \p Answers responses, \p Failures of which failed.
   void add(uint32_t Answers, uint32_t Failures, double Now);
   answer_counts at(double Now) const;
-  /// False: failsMore() is false for it, whatever the others do.
+  /// False if the upstream has too few failures to count as failing more than
+  /// the others, whatever the counts of the others are.
   bool mayFail() const;
 
 private:
-  answer_counts Counts;
-  double CountedAt = 0;
+  answer_counts Counts; ///< As of CountedAt.
+  double CountedAt = 0; ///< Steady-clock seconds.
 };
 
-/// True if \p One fails so much more than \p Others of its kind that it should
-/// get requests only now and then, to see whether it still does.
+/// True if the failure rate of \p One is so much higher than that of \p Others,
+/// the other upstreams of its service, that it should get only occasional
+/// requests, which show whether it still fails.
 bool failsMore(const answer_counts &One, const answer_counts &Others);
 
 } // namespace olivevalve
--- a/policy/estimate.cpp
+++ b/policy/estimate.cpp
@@ -7,19 +7,21 @@
 
 namespace {
 
-// Ratings that the parent's mean is worth in a small cell.
+// The weight of the parent cell's mean, in ratings.
 constexpr double ParentWeight = 30;
-// What is believed of an arm never rated.
+// Quality of an arm without ratings, and its weight in ratings.
 constexpr double PriorQuality = 0.6;
 constexpr double PriorWeight = 2;
-// Ratings after which an old one has faded to a third: drift is followed
-// within some hundred answers, noise is still averaged.
-constexpr double MemoryRatings = 600;
-// Standard deviation of one rating; ratings of 0 to 1 that hang together.
-constexpr double RatingSpread = 0.3;
+// The number of ratings after which the weight of an old one has fallen to 1/e:
+// few enough to follow a change within some hundred answers, enough to average
+// out noise.
+constexpr double DecayRatings = 600;
+// Standard deviation assumed for a single rating. Ratings are between 0 and 1
+// and correlated.
+constexpr double RatingDeviation = 0.3;
 
-double leaning(const estimate_sums &Sums, double Parent, double Weight,
-               double Sum) {
+double shrunkMean(const estimate_sums &Sums, double Parent, double Weight,
+                  double Sum) {
   return (Sum + Weight * Parent) / (Sums.Ratings + Weight);
 }
 
@@ -30,22 +32,22 @@
 }
 
 arm parseArm(std::string_view Text) {
-  size_t Mark = Text.find('>');
-  if (Mark == std::string_view::npos)
+  size_t Separator = Text.find('>');
+  if (Separator == std::string_view::npos)
     return {parseVersionName(Text), {}};
-  return {parseVersionName(Text.substr(0, Mark)),
-          parseVersionName(Text.substr(Mark + 1))};
+  return {parseVersionName(Text.substr(0, Separator)),
+          parseVersionName(Text.substr(Separator + 1))};
 }
 
 void estimate_sums::add(double Score, double Cost) {
-  constexpr double Fade = 1 - 1 / MemoryRatings;
-  Ratings = Ratings * Fade + 1;
-  Scores = Scores * Fade + Score;
-  Costs = Costs * Fade + Cost;
+  constexpr double Decay = 1 - 1 / DecayRatings;
+  Ratings = Ratings * Decay + 1;
+  Scores = Scores * Decay + Score;
+  Costs = Costs * Decay + Cost;
 }
 
 void estimates::add(const estimate_key &Key, double Score, double Cost) {
-  ++Change;
+  ++Revision;
   Cells[Key].add(Score, Cost);
   if (!Key.Account.empty())
     Cells[{Key.Template, "", Key.Arm}].add(Score, Cost);
@@ -63,19 +65,19 @@
   const estimate_sums &Arm = cell({"", "", Key.Arm});
   const estimate_sums &Template = cell({Key.Template, "", Key.Arm});
   const estimate_sums &Account = cell(Key);
-  double Quality = leaning(Arm, PriorQuality, PriorWeight, Arm.Scores);
-  Quality = leaning(Template, Quality, ParentWeight, Template.Scores);
-  double Cost = leaning(Arm, PriorCost, PriorWeight, Arm.Costs);
-  Cost = leaning(Template, Cost, ParentWeight, Template.Costs);
-  double Known = Template.Ratings;
+  double Quality = shrunkMean(Arm, PriorQuality, PriorWeight, Arm.Scores);
+  Quality = shrunkMean(Template, Quality, ParentWeight, Template.Scores);
+  double Cost = shrunkMean(Arm, PriorCost, PriorWeight, Arm.Costs);
+  Cost = shrunkMean(Template, Cost, ParentWeight, Template.Costs);
+  double Ratings = Template.Ratings;
   if (!Key.Account.empty()) {
-    Quality = leaning(Account, Quality, ParentWeight, Account.Scores);
-    Cost = leaning(Account, Cost, ParentWeight, Account.Costs);
+    Quality = shrunkMean(Account, Quality, ParentWeight, Account.Scores);
+    Cost = shrunkMean(Account, Cost, ParentWeight, Account.Costs);
   }
   return {.Quality = Quality,
-          .Error = RatingSpread / std::sqrt(Known + 1),
+          .Error = RatingDeviation / std::sqrt(Ratings + 1),
           .Cost = Cost,
-          .Ratings = Known};
+          .Ratings = Ratings};
 }
 
 } // namespace olivevalve
--- a/policy/limits.cpp
+++ b/policy/limits.cpp
@@ -1,4 +1,4 @@
-//===- limits.cpp - Rates, concurrency and retries ------------------------===//
+//===- limits.cpp - Rate limits and retry budgets -------------------------===//
 
 #include "policy/limits.h"
 #include <algorithm>
@@ -8,10 +8,10 @@
 
 namespace {
 
-// A bucket holds what comes in this many seconds, and one token at least.
+// The bucket holds the tokens of this many seconds, and at least one token.
 constexpr double BurstSeconds = 2.0;
-// Time constant of the rate meter, seconds.
-constexpr double MeterSeconds = 5.0;
+// Time constant of the rate meter.
+constexpr double MeterDecaySeconds = 5.0;
 
 } // namespace
 
@@ -29,7 +29,7 @@
 }
 
 void retry_budget::requestSeen() {
-  Tokens = std::min(Bounds.Saved, Tokens + Bounds.Ratio);
+  Tokens = std::min(Bounds.MaxTokens, Tokens + Bounds.Ratio);
 }
 
 bool retry_budget::take() {
@@ -40,12 +40,13 @@
 }
 
 void rate_meter::count(double Now) {
-  Value = Value * std::exp((Last - Now) / MeterSeconds) + 1 / MeterSeconds;
+  Value = Value * std::exp((Last - Now) / MeterDecaySeconds) +
+          1 / MeterDecaySeconds;
   Last = Now;
 }
 
 double rate_meter::perSecond(double Now) const {
-  return Value * std::exp((Last - Now) / MeterSeconds);
+  return Value * std::exp((Last - Now) / MeterDecaySeconds);
 }
 
 } // namespace olivevalve
--- a/policy/limits.h
+++ b/policy/limits.h
@@ -1,7 +1,7 @@
-//===- limits.h - Rates, concurrency and retries ----------------*- C++ -*-===//
+//===- limits.h - Rate limits and retry budgets -----------------*- C++ -*-===//
 //
-// What one entry lets through: its share of a client account's rate and
-// concurrency, and a budget of retries that follows the traffic. Pure.
+// Limits of one entry: its share of a client account's request rate, and a
+// retry budget that is proportional to the traffic. Pure.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,30 +12,33 @@
 
 namespace olivevalve {
 
-/// A token bucket; rates are per second.
+/// A token bucket.
 class rate_limit {
 public:
-  /// Takes one token if there is one. \p Rate may differ at every call.
+  /// Takes one token; false if there is none. \p Rate, in tokens per second,
+  /// may differ between calls.
   bool take(double Rate, double Now);
 
 private:
-  double Tokens = -1; ///< -1: full at first use.
-  double Last = 0;
+  double Tokens = -1; ///< -1: not used yet; the bucket starts full.
+  double Last = 0;    ///< Time of the last call, steady-clock seconds.
 };
 
-/// What retries a budget allows.
+/// The size of a retry budget.
 struct retry_bounds {
-  double Ratio = 0.1; ///< Retries earned by each request.
-  double Saved = 10;  ///< The most that is kept for later.
+  double Ratio = 0.1;    ///< Retries that each request adds to the budget.
+  double MaxTokens = 10; ///< Upper bound on the saved retries.
 };
 
-/// Allows retries as a share of requests, so that retries cannot multiply an
-/// overload.
+/// Allows a number of retries proportional to the number of requests, so that
+/// retries cannot amplify an overload.
 class retry_budget {
 public:
   explicit retry_budget(retry_bounds Bounds = {})
-      : Bounds(Bounds), Tokens(Bounds.Saved / 2) {}
+      : Bounds(Bounds), Tokens(Bounds.MaxTokens / 2) {}
+  /// Records a request, which adds to the budget.
   void requestSeen();
+  /// Takes one retry from the budget; false if there is none.
   bool take();
 
 private:
@@ -43,15 +46,16 @@
   double Tokens;
 };
 
-/// Running mean of a rate, for the shares that control hands out.
+/// Exponentially weighted mean of a request rate. Entries report it to control,
+/// which divides each client account's limits among the entries accordingly.
 class rate_meter {
 public:
   void count(double Now);
   double perSecond(double Now) const;
 
 private:
-  double Value = 0;
-  double Last = 0;
+  double Value = 0; ///< Per second, as of Last.
+  double Last = 0;  ///< Time of the last count, steady-clock seconds.
 };
 
 } // namespace olivevalve
--- a/policy/placement.h
+++ b/policy/placement.h
@@ -1,11 +1,12 @@
 //===- placement.h - Which replicas hold which versions ---------*- C++ -*-===//
 //
-// Replicas have room for a few versions each, and the weight store gives only
-// so many at once. From the demand for each version and from what is assigned
-// and loaded now comes the next small step: one that ended versions make room
-// for, that a version short of copies needs, or that evens out demand. Steps
-// are taken one after another from what is true then, so whoever leads next
-// goes on where the last one stopped. Pure.
+// Assigns versions to replicas. A replica has room for a few versions, and the
+// weight store supports only a few loads at once. nextPlacement() computes a
+// single step from the demand for each version and from what is assigned and
+// loaded now: it removes versions that take no more work, adds a copy of a
+// version that has too few, or rebalances the demand. Each step is computed
+// from the current state, so that a new leader continues where the previous one
+// stopped. Pure.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,12 +22,12 @@
 
 namespace olivevalve {
 
-/// A replica whose versions control decides on.
+/// A replica to which control assigns versions.
 struct placed_replica {
   std::string Name;
   std::string DataHall;
-  size_t Room = 1;                 ///< Versions that fit at once.
-  std::vector<std::string> Models; ///< That it may hold.
+  size_t Room = 1;                 ///< Number of versions that it can hold.
+  std::vector<std::string> Models; ///< Models that it may hold.
   std::set<version_name> Assigned;
   std::set<version_name> Loaded;
   bool Usable = true; ///< Its sidecar holds a lease and it is not leaving.
@@ -35,23 +36,26 @@
 /// A version that takes new work.
 struct placed_version {
   version_name Name;
-  double InFlight = 0; ///< Requests running and waiting, smoothed.
+  double InFlight = 0; ///< Requests running and queued, smoothed.
 };
 
+/// The input of nextPlacement().
 struct placement_question {
   std::vector<placed_replica> Replicas;
   std::vector<placed_version> Versions;
-  size_t LoadsAtOnce = 2; ///< That the weight store bears.
+  /// The number of concurrent loads that the weight store supports.
+  size_t LoadsAtOnce = 2;
 };
 
-/// A replica and what it shall hold from now on.
+/// A replica and the versions that it is to hold from now on.
 struct placement_step {
-  size_t Replica = 0; ///< Its place in the question.
+  size_t Replica = 0; ///< Index of the replica in the input.
   std::set<version_name> Assigned;
 };
 
-/// None when all is well, or while the weight store is busy.
-std::optional<placement_step> nextPlacement(const placement_question &Question);
+/// Returns none if nothing is to be changed, or if a load is needed while the
+/// weight store is busy.
+std::optional<placement_step> nextPlacement(const placement_question &Input);
 
 } // namespace olivevalve
 
--- a/policy/subset.cpp
+++ b/policy/subset.cpp
@@ -1,4 +1,4 @@
-//===- subset.cpp - Which upstreams an entry talks to ---------------------===//
+//===- subset.cpp - Which upstreams an entry connects to ------------------===//
 
 #include "policy/subset.h"
 #include "base/digest.h"
@@ -8,44 +8,46 @@
 
 namespace {
 
-// Enough to find a free replica at a dozen requests a second. With 13 versions
-// these are 78 links, which docs/CAPACITY.md holds against the bound.
-constexpr size_t LeastReplicas = 6;
-// Places kept for other data halls, should the own one fail.
-constexpr size_t OtherHalls = 2;
-// Entries that a replica should be known to. With ten links whatever the number
-// of entries, two entries in two of three data halls with six replicas each
-// knew some half of the third hall's (computed): the rest stood idle.
-constexpr size_t EntriesOfReplica = 8;
-// Longer than the leases that a new leader has not heard of yet.
-constexpr double FewerSeconds = 30;
+// Enough to find a free replica at about twelve requests per second. With 13
+// versions this results in 78 links; docs/CAPACITY.md compares that with the
+// bound on control traffic.
+constexpr size_t MinReplicas = 6;
+// Replicas in other data halls, in case the entry's own data hall fails.
+constexpr size_t MinOtherHallReplicas = 2;
+// The number of entries that should be connected to a replica. With a fixed
+// number of ten links per entry, two entries in two of three data halls with
+// six replicas each were connected to only half of the replicas of the third
+// data hall, and the others stayed idle.
+constexpr size_t EntriesPerReplica = 8;
+// Longer than a new leader needs to receive the leases of all entries.
+constexpr double DecreaseDelaySeconds = 30;
 
 } // namespace
 
-bool steady_entry_count::update(size_t Told, double Now) {
-  if (Told >= Value)
-    FewerSince = 0;
-  else if (FewerSince == 0)
-    FewerSince = Now;
-  bool Fewer = Told < Value && Now >= FewerSince + FewerSeconds;
-  if (Told <= Value && !Fewer)
+bool steady_entry_count::update(size_t Reported, double Now) {
+  if (Reported >= Value)
+    DecreasedAt = 0;
+  else if (DecreasedAt == 0)
+    DecreasedAt = Now;
+  bool Decreases =
+      Reported < Value && Now >= DecreasedAt + DecreaseDelaySeconds;
+  if (Reported <= Value && !Decreases)
     return false;
-  Value = Told;
-  FewerSince = 0;
+  Value = Reported;
+  DecreasedAt = 0;
   return true;
 }
 
 size_t subsetSize(size_t Replicas, size_t Entries) {
-  size_t Shared = (Replicas * EntriesOfReplica + Entries - 1) / Entries;
-  return std::min(Replicas, std::max(LeastReplicas, Shared));
+  size_t Required = (Replicas * EntriesPerReplica + Entries - 1) / Entries;
+  return std::min(Replicas, std::max(MinReplicas, Required));
 }
 
 std::vector<std::string> chooseSubset(std::vector<subset_replica> Replicas,
-                                      const subset_question &Question) {
-  size_t Size =
-      subsetSize(Replicas.size(), std::max<size_t>(1, Question.Entries));
+                                      const subset_question &Input) {
+  size_t Size = subsetSize(Replicas.size(), std::max<size_t>(1, Input.Entries));
   auto Rank = [&](const subset_replica &Replica) {
-    return checksum(Replica.Name, Question.EntryHash);
+    return checksum(Replica.Name, Input.EntryHash);
   };
   std::sort(Replicas.begin(), Replicas.end(),
             [&](const subset_replica &A, const subset_replica &B) {
@@ -56,8 +58,9 @@
       [](const subset_replica &Replica) { return Replica.SameHall; });
   size_t OwnCount = size_t(Own - Replicas.begin());
   size_t OtherCount = Replicas.size() - OwnCount;
-  size_t Others = std::min(OtherCount, std::max(OtherHalls, Size / 3));
-  // What one side cannot give comes from the other.
+  size_t Others =
+      std::min(OtherCount, std::max(MinOtherHallReplicas, Size / 3));
+  // If one side has too few replicas, the other side provides the rest.
   size_t TakeOwn = std::min(OwnCount, Size - std::min(Size, Others));
   size_t TakeOthers = std::min(OtherCount, Size - TakeOwn);
   std::vector<std::string> Names;
