--- a/quarantine/crash_reports.cpp
+++ b/quarantine/crash_reports.cpp
@@ -1,4 +1,4 @@
-//===- crash_reports.cpp - What one process knows of such requests --------===//
+//===- crash_reports.cpp - Crash reports held by one process --------------===//
 
 #include "quarantine/crash_reports.h"
 #include "base/clock.h"
@@ -9,16 +9,18 @@
 
 namespace {
 
-// Reports are told to control as long as they count, with each message until
-// the leader has answered, then seldom: it may start anew.
-constexpr double ReportSeconds = 600;
-constexpr size_t MostReports = 2048;
-constexpr double KnownInterval = 10;
-// Other processes are told each time for so long: datagrams may be lost.
-constexpr double NewSeconds = 2;
-// In one message, at some 35 bytes each: a datagram takes 1,400.
-constexpr int MostInDatagram = 20;
-constexpr int MostInMessage = 200;
+// Reports are sent to control for as long as they count: with each message
+// until the leader has acknowledged them, then at a longer interval, as the
+// leader may restart and lose them.
+constexpr double ReportLifetimeSeconds = 600;
+constexpr size_t MaxReports = 2048;
+constexpr double ResendSeconds = 10;
+// Each report is sent to other processes repeatedly for this time, as datagrams
+// may be lost.
+constexpr double RecentSeconds = 2;
+// Reports in one message, at some 35 bytes each: a datagram holds 1,400.
+constexpr int MaxPerDatagram = 20;
+constexpr int MaxPerMessage = 200;
 
 void fillReport(const crash_report &Report, wire::crash_report &Out) {
   fillName(Report.Request, *Out.mutable_request());
@@ -30,42 +32,42 @@
 void crash_reports::answered(const short_digest &Request) {
   double Now = steadySeconds();
   if (Evidence.answered(Request, Now))
-    acquit(Request, Now);
+    clearSuspicion(Request, Now);
 }
 
 void crash_reports::report(const crash_report &Report) {
   double Now = steadySeconds();
   if (Evidence.answeredLately(Report.Request, Now)) {
-    // Others may not know that it was answered here.
-    return acquit(Report.Request, Now);
+    // Other processes may not have received that it was answered here.
+    return clearSuspicion(Report.Request, Now);
   }
-  take(Report);
+  record(Report);
   Reports.push_back({.Report = Report, .SeenAt = Now});
-  if (Reports.size() > MostReports)
+  if (Reports.size() > MaxReports)
     Reports.pop_front();
   if (OnReport)
     OnReport();
 }
 
-void crash_reports::take(const crash_report &Report) {
+void crash_reports::record(const crash_report &Report) {
   double Now = steadySeconds();
   if (Evidence.answeredLately(Report.Request, Now))
-    return acquit(Report.Request, Now);
+    return clearSuspicion(Report.Request, Now);
   if (!Evidence.ended(Report, Now))
     return;
-  size_t Ends = Evidence.endsUnder(Report.Request, Now).size();
-  bool Refused = Ends >= crash_evidence::EndsToConvict;
+  size_t Crashes = Evidence.endsUnder(Report.Request, Now).size();
+  bool Refused = Crashes >= crash_evidence::EndsToConvict;
   logLine(Refused ? log_level::Warning : log_level::Info,
-          "upstream ended under a request",
+          "upstream crashed while processing a request",
           {{"request", hexOf(Report.Request)},
            {"upstream_place", hexOf(Report.Upstream)},
-           {"ends", int64_t(Ends)},
+           {"ends", int64_t(Crashes)},
            {"refused_from_now_on", int64_t(Refused)}});
 }
 
-void crash_reports::acquit(const short_digest &Request, double Now) {
-  if (Acquitted.size() < size_t(MostInMessage))
-    Acquitted[Request] = Now;
+void crash_reports::clearSuspicion(const short_digest &Request, double Now) {
+  if (Cleared.size() < size_t(MaxPerMessage))
+    Cleared[Request] = Now;
 }
 
 bool crash_reports::suspects(const short_digest &Request) const {
@@ -81,10 +83,11 @@
 }
 
 void crash_reports::forgetOld(double Now) {
-  while (!Reports.empty() && Now >= Reports.front().SeenAt + ReportSeconds)
+  while (!Reports.empty() &&
+         Now >= Reports.front().SeenAt + ReportLifetimeSeconds)
     Reports.pop_front();
-  std::erase_if(Acquitted, [Now](const auto &Each) {
-    return Now >= Each.second + NewSeconds;
+  std::erase_if(Cleared, [Now](const auto &Each) {
+    return Now >= Each.second + RecentSeconds;
   });
 }
 
@@ -93,16 +96,16 @@
   forgetOld(Now);
   News.set_quarantine_revision(Revision);
   for (auto It = Reports.rbegin();
-       It != Reports.rend() && News.crashes_size() < MostInMessage; ++It) {
-    if (It->KnownAt > 0 && Now < It->KnownAt + KnownInterval)
+       It != Reports.rend() && News.crashes_size() < MaxPerMessage; ++It) {
+    if (It->AcknowledgedAt > 0 && Now < It->AcknowledgedAt + ResendSeconds)
       continue;
     if (!Evidence.endsUnder(It->Report.Request, Now)
              .contains(It->Report.Upstream))
       continue;
-    It->ToldAt = SentAt;
+    It->LastSentAt = SentAt;
     fillReport(It->Report, *News.add_crashes());
   }
-  for (const auto &[Request, At] : Acquitted)
+  for (const auto &[Request, At] : Cleared)
     fillName(Request, *News.add_answered());
   for (const short_digest &Request : Quarantined)
     if (Evidence.answeredLately(Request, Now))
@@ -110,25 +113,25 @@
 }
 
 void crash_reports::acknowledged(double SentAt, uint64_t NewLeader) {
-  bool Another = std::exchange(Leader, NewLeader) != NewLeader;
+  bool LeaderChanged = std::exchange(Leader, NewLeader) != NewLeader;
   for (own_report &Each : Reports) {
-    bool Had = Each.ToldAt > 0 && Each.ToldAt == SentAt;
-    if (Had)
-      Each.KnownAt = steadySeconds();
-    else if (Another)
-      Each.KnownAt = 0;
+    bool Received = Each.LastSentAt > 0 && Each.LastSentAt == SentAt;
+    if (Received)
+      Each.AcknowledgedAt = steadySeconds();
+    else if (LeaderChanged)
+      Each.AcknowledgedAt = 0;
   }
 }
 
 void crash_reports::fillNew(wire::crash_news &News) const {
   double Now = steadySeconds();
   for (auto It = Reports.rbegin();
-       It != Reports.rend() && Now < It->SeenAt + NewSeconds &&
-       News.crashes_size() < MostInDatagram;
+       It != Reports.rend() && Now < It->SeenAt + RecentSeconds &&
+       News.crashes_size() < MaxPerDatagram;
        ++It)
     fillReport(It->Report, *News.add_crashes());
-  for (const auto &[Request, At] : Acquitted)
-    if (Now < At + NewSeconds && News.answered_size() < MostInDatagram)
+  for (const auto &[Request, At] : Cleared)
+    if (Now < At + RecentSeconds && News.answered_size() < MaxPerDatagram)
       fillName(Request, *News.add_answered());
 }
 
@@ -136,11 +139,12 @@
   for (const wire::request_name &Name : News.answered())
     Evidence.answered(digestOf(Name), steadySeconds());
   for (const wire::crash_report &Report : News.crashes())
-    take(
+    record(
         {.Request = digestOf(Report.request()), .Upstream = Report.upstream()});
 }
 
-// What is let go is judged anew, by what happens from now on.
+// A request released from quarantine is judged only by what happens from now
+// on.
 void crash_reports::hear(const wire::quarantine_news &News) {
   if (News.revision() <= Revision)
     return;
@@ -157,7 +161,7 @@
   for (const short_digest &Request : Before)
     if (!Quarantined.contains(Request)) {
       Evidence.forget(Request);
-      logLine(log_level::Warning, "request let out of quarantine",
+      logLine(log_level::Warning, "request released from quarantine",
               {{"request", hexOf(Request)}});
     }
   Metrics.gauge("requests_quarantined", double(Quarantined.size()));
--- a/quarantine/crash_reports.h
+++ b/quarantine/crash_reports.h
@@ -1,7 +1,8 @@
-//===- crash_reports.h - What one process knows of such requests -*- C++ -*-==//
+//===- crash_reports.h - Crash reports held by one process ------*- C++ -*-===//
 //
-// Requests that upstreams ended under: what this process saw, what others told
-// it, and what control has quarantined. Tells control, and others if they ask.
+// Requests under which upstreams crashed, as seen by this process and as
+// reported by others, and the requests that control has quarantined. Reports
+// are sent to control, and to other processes of the same kind.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,51 +19,58 @@
 
 namespace olivevalve {
 
+/// The crash reports and quarantined requests that one process holds.
 class crash_reports {
 public:
   explicit crash_reports(metrics &Metrics) : Metrics(Metrics) {}
 
-  /// Seen by this process.
+  /// Records a crash that this process saw.
   void report(const crash_report &Report);
-  /// A whole answer came to the request.
+  /// Records that the request got a complete response.
   void answered(const short_digest &Request);
-  /// Something speaks against it.
+  /// True if an upstream crashed while processing the request.
   bool suspects(const short_digest &Request) const;
-  /// True: it must go to no upstream.
+  /// True: the request must not be sent to any upstream.
   bool refuses(const short_digest &Request) const;
 
-  /// For control. \p SentAt names the message, by this process's clock.
+  /// Fills a message to control. \p SentAt: when it is sent, by this process's
+  /// clock; identifies the message.
   void fill(wire::crash_news &News, double SentAt);
-  /// The leader has the message that was sent then.
+  /// The leader has received the message sent at \p SentAt.
   void acknowledged(double SentAt, uint64_t Leader);
+  /// Applies the set of quarantined requests from control.
   void hear(const wire::quarantine_news &News);
-  /// For other processes of the same kind: what is new.
+  /// Fills a message to other processes of the same kind with recent reports.
   void fillNew(wire::crash_news &News) const;
+  /// Applies a message from another process.
   void hear(const wire::crash_news &News);
 
-  /// There is something new to tell.
+  /// Called when there is a new report to send.
   std::function<void()> OnReport;
 
 private:
   struct own_report {
     crash_report Report;
     double SeenAt = 0;
-    double ToldAt = 0;  ///< The last message that held it was sent then.
-    double KnownAt = 0; ///< To the leader; 0: it may not know.
+    /// When the last message that contained it was sent.
+    double LastSentAt = 0;
+    /// When the leader acknowledged it; 0: the leader may not have it.
+    double AcknowledgedAt = 0;
   };
 
-  void take(const crash_report &Report);
-  void acquit(const short_digest &Request, double Now);
+  void record(const crash_report &Report);
+  void clearSuspicion(const short_digest &Request, double Now);
   void forgetOld(double Now);
 
   metrics &Metrics;
   crash_evidence Evidence;
-  std::deque<own_report> Reports;           ///< Oldest first.
-  std::map<short_digest, double> Acquitted; ///< When; others are told for some
-                                            ///< seconds.
+  std::deque<own_report> Reports; ///< Oldest first.
+  /// Requests that got a complete response and when; reported to other
+  /// processes for some seconds.
+  std::map<short_digest, double> Cleared;
   std::set<short_digest> Quarantined;
   uint64_t Revision = 0; ///< Of the quarantine.
-  uint64_t Leader = 0;   ///< That knows of the reports.
+  uint64_t Leader = 0;   ///< That has the acknowledged reports.
 };
 
 } // namespace olivevalve
--- a/quarantine/crash_watch.h
+++ b/quarantine/crash_watch.h
@@ -1,10 +1,11 @@
-//===- crash_watch.h - Which upstreams ended under which requests -*- C++ -*-//
+//===- crash_watch.h - Relates crashes to requests --------------*- C++ -*-===//
 //
-// A connection that breaks does not tell whether its upstream has ended:
-// answers are cut and reset by upstreams that live on. A request that was
-// broken off is held against nobody until the end is sure: nothing listens
-// there any more, another incarnation has the address, the list or another
-// process says so. Then all that the upstream had is reported.
+// A broken connection does not show that its upstream has crashed: upstreams
+// that live on also cut off and reset responses. An interrupted request is not
+// blamed for a crash until the crash is certain, that is, until no process
+// listens at the address, another incarnation has it, or the list or another
+// process reports the crash. Then all requests that the upstream interrupted
+// are reported.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,35 +20,37 @@
 
 namespace olivevalve {
 
-/// One incarnation.
+/// One incarnation of an upstream.
 struct watched_upstream {
-  uint64_t Place = 0; ///< Names it alike everywhere.
+  uint64_t Place = 0; ///< Key of the incarnation, the same at all processes.
   std::string Name;   ///< For logs.
   std::string Address;
 };
 
+/// Relates interrupted requests to crashes of their upstreams.
 class crash_watch {
 public:
   crash_watch(struct ev_loop *Loop, metrics &Metrics, crash_reports &Reports);
 
-  /// An upstream left a request without an answer.
+  /// Records that an upstream left a request without a complete response.
   void brokeOff(const watched_upstream &Upstream, const short_digest &Request);
-  /// Nothing is left of it that could answer. \p How is for the log.
+  /// Records that the upstream's process has terminated. \p How: the evidence,
+  /// for logs and metrics.
   void ended(const watched_upstream &Upstream, std::string_view How);
-  /// It has answered a request that was sent at \p SentAt: what it broke off
-  /// before it broke off alive.
-  void answers(uint64_t Place, double SentAt);
+  /// Records a response to a request that was sent at \p SentAt: the upstream
+  /// did not crash under requests that it interrupted before then.
+  void answers(uint64_t Key, double SentAt);
 
-  /// An upstream was found to have ended by this process's own question.
+  /// Called when a probe by this process found that an upstream has crashed.
   std::function<void(const watched_upstream &)> OnEnded;
 
 private:
-  struct broken_request {
+  struct interrupted_request {
     short_digest Request{};
     double At = 0;
   };
-  struct broken_upstream {
-    std::deque<broken_request> Requests; ///< Oldest first.
+  struct suspected_upstream {
+    std::deque<interrupted_request> Requests; ///< Oldest first.
     double ProbedAt = 0;
   };
 
@@ -57,9 +60,10 @@
   struct ev_loop *Loop;
   metrics &Metrics;
   crash_reports &Reports;
-  std::unordered_map<uint64_t, broken_upstream> Broken; ///< By place.
-  std::unordered_map<uint64_t, double> EndedAt;         ///< By place.
-  std::list<end_probe> Probes;
+  /// By upstream key.
+  std::unordered_map<uint64_t, suspected_upstream> Suspected;
+  std::unordered_map<uint64_t, double> CrashedAt; ///< By upstream key.
+  std::list<listener_probe> Probes;
   before_wait Prepare;
 };
 
--- a/quarantine/end_probe.cpp
+++ b/quarantine/end_probe.cpp
@@ -1,4 +1,4 @@
-//===- end_probe.cpp - Whether anything listens at an address -------------===//
+//===- end_probe.cpp - Checks whether a process listens -------------------===//
 
 #include "quarantine/end_probe.h"
 #include <utility>
@@ -7,42 +7,44 @@
 
 namespace {
 
-// A process that is ending may close its connections before its listener.
-constexpr int MostTries = 3;
-constexpr double PauseSeconds = 0.05;
-// For a connection to come up, and to stay up.
-constexpr double WaitSeconds = 0.3;
+// A terminating process may close its connections before its listener, so the
+// probe is repeated.
+constexpr int MaxTries = 3;
+constexpr double RetrySeconds = 0.05;
+// For a connection to be established, and to stay open.
+constexpr double ConnectWaitSeconds = 0.3;
 
 } // namespace
 
-end_probe::end_probe(struct ev_loop *Loop, std::string NewAddress,
-                     std::function<void(bool Refused)> OnResult)
+listener_probe::listener_probe(struct ev_loop *Loop, std::string NewAddress,
+                               std::function<void(bool Refused)> OnResult)
     : Loop(Loop), Address(std::move(NewAddress)), OnResult(std::move(OnResult)),
       Timer(Loop, [this] { connect(); }) {
   connect();
 }
 
-// Also the end of a wait: a connection that stayed up has a process behind it.
-void end_probe::connect() {
+// Also called at the end of a wait: a connection that stayed open shows that a
+// process is alive.
+void listener_probe::connect() {
   if (Stream && Stream->open())
     return finish(Stream->connected() ? std::optional(false) : std::nullopt);
   ++Tries;
   Stream.emplace(Loop, Address);
   Stream->OnBytes = [](std::string_view) {};
   Stream->OnEnd = [this](bool) { onEnd(); };
-  Timer.startOnce(WaitSeconds);
+  Timer.startOnce(ConnectWaitSeconds);
 }
 
-void end_probe::onEnd() {
+void listener_probe::onEnd() {
   if (Stream->refused())
     return finish(true);
-  if (Tries == MostTries)
+  if (Tries == MaxTries)
     return finish(std::nullopt);
   Stream->close();
-  Timer.startOnce(PauseSeconds);
+  Timer.startOnce(RetrySeconds);
 }
 
-void end_probe::finish(std::optional<bool> Refused) {
+void listener_probe::finish(std::optional<bool> Refused) {
   Timer.stop();
   Stream->close();
   Done = true;
--- a/quarantine/end_probe.h
+++ b/quarantine/end_probe.h
@@ -1,4 +1,4 @@
-//===- end_probe.h - Whether anything listens at an address -----*- C++ -*-===//
+//===- end_probe.h - Checks whether a process listens -----------*- C++ -*-===//
 
 #ifndef OLIVEVALVE_QUARANTINE_END_PROBE_H
 #define OLIVEVALVE_QUARANTINE_END_PROBE_H
@@ -9,13 +9,15 @@
 
 namespace olivevalve {
 
-/// Opens a connection and closes it. The callback is told once, unless an
-/// answer stays away: then the process may have ended or not.
-class end_probe {
+/// Opens a connection to an address and closes it. The callback is called once
+/// with the result, or never if the result is unclear and the process may have
+/// crashed or not.
+class listener_probe {
 public:
-  end_probe(struct ev_loop *Loop, std::string Address,
-            std::function<void(bool Refused)> OnResult);
+  listener_probe(struct ev_loop *Loop, std::string Address,
+                 std::function<void(bool Refused)> OnResult);
 
+  /// True once the probe is over, with or without a result.
   bool done() const { return Done; }
 
 private:
--- a/quarantine/request_identity.cpp
+++ b/quarantine/request_identity.cpp
@@ -1,4 +1,4 @@
-//===- request_identity.cpp - Which requests are the same -----------------===//
+//===- request_identity.cpp - Identity of a request across retries --------===//
 
 #include "quarantine/request_identity.h"
 #include <algorithm>
@@ -8,7 +8,8 @@
 
 namespace {
 
-// Lengths keep the end of one field from being read as the start of the next.
+// The lengths keep the end of one field from being taken for the start of the
+// next.
 void append(std::string &Bytes, std::string_view Field) {
   Bytes.append(std::to_string(Field.size())).append(":").append(Field);
 }
--- a/quarantine/request_identity.h
+++ b/quarantine/request_identity.h
@@ -1,4 +1,4 @@
-//===- request_identity.h - Which requests are the same ---------*- C++ -*-===//
+//===- request_identity.h - Identity of a request across retries ---*- C++ -*-//
 
 #ifndef OLIVEVALVE_QUARANTINE_REQUEST_IDENTITY_H
 #define OLIVEVALVE_QUARANTINE_REQUEST_IDENTITY_H
@@ -8,17 +8,18 @@
 
 namespace olivevalve {
 
-/// What comes again with each try of a request.
+/// The parts of a request that are the same in each retry.
 struct request_parts {
-  std::string_view Account; ///< Of the client; without it, one could act on the
-                            ///< requests of another.
+  /// Name of the client account. Without it, one account could get the requests
+  /// of another quarantined.
+  std::string_view Account;
   std::string_view Method;
-  std::string_view Host; ///< In any case; empty: there is one only.
+  std::string_view Host; ///< Compared without case; empty: there is one only.
   std::string_view Target;
   std::string_view Body;
 };
 
-/// The same for each try of one request, at every process.
+/// Digest that is the same for each retry of a request, at every process.
 short_digest identityOf(const request_parts &Parts);
 
 } // namespace olivevalve
