--- a/gateway/forwarding.cpp
+++ b/gateway/forwarding.cpp
@@ -392,8 +392,8 @@
       steadySeconds() < LastReceivedAt + silenceTimeout() - TimerSlackSeconds)
     return;
   Interrupted = true;
-  bool LivedWhenSent = Connection->fresh() || LastReceivedAt > SentAt;
-  if (LivedWhenSent)
+  bool AliveWhenSent = Connection->fresh() || LastReceivedAt > SentAt;
+  if (AliveWhenSent)
     recordInterruption();
 }
 
--- a/gateway/model_switch.cpp
+++ b/gateway/model_switch.cpp
@@ -43,8 +43,8 @@
   selection_request Request = selectionAt(Now);
   Request.ModelIndex = Largest;
   request_estimate Estimate = estimateRequest(State, *Routing, Request);
-  work_sizes &Works = State.WorkSizes[Service];
-  Works.weighed(Estimate.UpstreamSeconds);
+  work_sizes &LargestWork = State.WorkSizes[Service];
+  LargestWork.weighed(Estimate.UpstreamSeconds);
   auto Larger = largerModel(
       {.Models = Route->Sizes.size(),
        .Place = ModelIndex,
@@ -54,7 +54,7 @@
        .LargestSeconds = Estimate.UpstreamSeconds,
        .WorthOfSecond =
            worthOfSecond(State.Utilities[Service].perSecond(),
-                         Estimate.BacklogSeconds, Works.residual()),
+                         Estimate.BacklogSeconds, LargestWork.residual()),
        .RefusedShare = refusalChanceAt(Estimate.WaitSeconds),
        .InTime = Now + Estimate.FirstTokenSeconds <
                  ArrivedAt + Route->TargetSeconds});
@@ -63,7 +63,7 @@
            {"confidence", Confidence},
            {"prompt_tokens", int64_t(Facts.Model->PromptTokens)},
            {"backlog_s", Estimate.BacklogSeconds},
-           {"work_s", Works.residual()},
+           {"work_s", LargestWork.residual()},
            {"slot_wait_s", Estimate.WaitSeconds},
            {"upstream_s", Estimate.UpstreamSeconds},
            {"earned_per_s", State.Utilities[Service].perSecond()},
