--- a/control/control_task.cpp
+++ b/control/control_task.cpp
@@ -15,17 +15,19 @@
 constexpr double TickSeconds = 0.05;
 constexpr double GuardSeconds = 0.5;
 constexpr double PlacementSeconds = 1;
-// A bad version is to get nothing new within seconds: gateways tell what they
-// saw twice a second, and it is judged as often.
+// A bad version must stop getting new requests within seconds. Gateways report
+// their tallies twice a second, so roll-outs are judged at least as often.
 constexpr double RolloutSeconds = 0.25;
-// A VM that comes to lead tells changes and not the whole to gateways at
-// versions from then on. Reading a large table is not cheap.
-constexpr double FollowSeconds = 1;
-// Cells of estimates in one grant, at some 60 bytes each: a node that keeps up
-// gets 3 KB a second at most, under its bound of 4 KB; one that has none yet
-// gets more with its first grant.
-constexpr size_t CellsOfGrant = 50;
-constexpr size_t CellsOfFirstGrants = 400;
+// Every control VM keeps the encoded routing up to date, not only the leader,
+// so that a new leader can send gateways the changes since their versions
+// rather than the complete table. Encoding a large table is expensive, hence
+// not more often than this.
+constexpr double RoutingUpdateSeconds = 1;
+// Cells of estimates in one grant, at about 60 bytes each. A node that is up to
+// date gets at most 3 KB a second, below the bound of 4 KB; a node that holds
+// no estimates yet gets more with its first grant.
+constexpr size_t MaxCellsPerGrant = 50;
+constexpr size_t MaxCellsInFirstGrant = 400;
 
 } // namespace
 
@@ -68,9 +70,9 @@
                receive(Peer, Message);
              }),
       Upstreams(Loop, Options.UpstreamListAddress),
-      NewsTimer(Loop, [this] { pushNotices(); }),
+      NoticeTimer(Loop, [this] { sendAllNotices(); }),
       Timer(Loop, [this] { tick(); }) {
-  Upstreams.OnChange = [this] { tellGateways(); };
+  Upstreams.OnChange = [this] { scheduleNotices(); };
 }
 
 void control_task::receive(const std::string &Peer,
@@ -85,7 +87,7 @@
   case wire::envelope::kWatch:
     return onWatch(Peer, Message.watch());
   case wire::envelope::kRoutingAsk:
-    return onRoutingAsk(Peer, Message.routing_ask());
+    return onRoutingRequest(Peer, Message.routing_ask());
   case wire::envelope::kClaim:
     return onClaim(Peer, Message.claim());
   case wire::envelope::kFinish:
@@ -108,7 +110,7 @@
 void control_task::redirect(const std::string &Peer) {
   uint64_t Leader = Log->core().leader();
   if (Leader == Log->core().id())
-    return; // Elected, but not sure yet: the node asks again.
+    return; // Elected, but without a leader lease yet: the node will retry.
   wire::envelope Message;
   Message.mutable_redirect()->set_leader(Leader);
   Server.send(Peer, Message);
@@ -116,11 +118,11 @@
 
 void control_task::onRenew(const std::string &Peer, const wire::renew &Renew) {
   double Now = steadySeconds();
-  noteLeadership();
+  checkLeadership();
   if (!leads(Now))
     return redirect(Peer);
   Nodes.renewed(Peer, Renew, Now);
-  hearCrashes(Renew.crashes(), Now);
+  receiveCrashReports(Renew.crashes(), Now);
   if (Renew.stopping())
     Nodes.left(Peer);
   else
@@ -152,7 +154,7 @@
 }
 
 void control_task::fillEstimates(wire::estimate_table &Table,
-                                 uint64_t Known) const {
+                                 uint64_t HeldIndex) const {
   const rating_book &Ratings = Log->state().ratings();
   double Now = steadySeconds();
   for (const guard_report &Report : Reports) {
@@ -164,7 +166,8 @@
     Out->set_version(Report.Name.Version);
     Out->set_allowance(Nodes.perEntry(Report.Allowance, Now));
   }
-  Ratings.fillNews(Known, Known == 0 ? CellsOfFirstGrants : CellsOfGrant,
+  Ratings.fillNews(HeldIndex,
+                   HeldIndex == 0 ? MaxCellsInFirstGrant : MaxCellsPerGrant,
                    Table);
 }
 
@@ -175,7 +178,7 @@
   if (Result)
     *Out = Result->Claim;
   else
-    return; // Leadership lost: the node asks the next leader again.
+    return; // Leadership was lost: the node resends to the next leader.
   Out->set_call(Call);
   wire::claim_value Holder;
   if (!Out->won() && Holder.ParseFromString(Out->value()))
@@ -225,36 +228,41 @@
 }
 
 void control_task::onApplied(uint64_t Index, const apply_result &Result) {
-  bool HallsMoved = Log->state().evacuations().revision() != TellsEvacuations;
-  bool ConfigMoved = Result.ConfigIndex == Index;
-  if ((ConfigMoved || HallsMoved) && Log->core().isLeader())
+  bool HallsChanged =
+      Log->state().evacuations().revision() != SentEvacuationsRevision;
+  bool ConfigChanged = Result.ConfigIndex == Index;
+  if ((ConfigChanged || HallsChanged) && Log->core().isLeader())
     pushConfig();
-  // Entries are applied many at a time, after a start above all: gateways hear
-  // only of what the last of them leaves.
-  if (Log->state().routing().version() != TellsRouting ||
-      Log->state().rollouts().revision() != TellsRollouts ||
-      Log->state().quarantine().revision() != TellsQuarantine || HallsMoved)
-    tellGateways();
+  // Many entries may be applied in one go, especially after a start. Gateways
+  // get one notice with the state after the last of them.
+  if (Log->state().routing().version() != SentRoutingVersion ||
+      Log->state().rollouts().revision() != SentRolloutsRevision ||
+      Log->state().quarantine().revision() != SentQuarantineRevision ||
+      HallsChanged)
+    scheduleNotices();
 }
 
-// Tells every node at once, not only at its next renewal. Such a grant
-// carries no lease: it answers no question of the node.
+// Pushes a change to every node at once, rather than with its next renewal.
+// Such a grant carries no lease, as it is not a response to a renewal.
 void control_task::pushConfig() {
   if (!leads(steadySeconds()))
     return;
   for (const auto &[Peer, Node] : Nodes.nodes()) {
     wire::envelope Message;
     wire::grant *Grant = Message.mutable_grant();
-    Log->state().config().fillDelta(Node.Acked, *Grant->mutable_delta());
+    Log->state().config().fillDelta(Node.HeldConfigIndex,
+                                    *Grant->mutable_delta());
     Log->state().evacuations().fillNews(0, *Grant->mutable_evacuations());
     Server.send(Peer, Message);
   }
 }
 
-// Called before leases are granted or waited for: between an election and the
-// next tick this VM leads already, and a change must not count as in force
-// because the leases of the last leader are not known here.
-void control_task::noteLeadership() {
+// Detects that this VM has become the leader, and resets what is only valid
+// within one term. Must run before a lease is granted or a wait begins: between
+// an election and the next tick this VM is already the leader, and without the
+// reset a change would count as in force while nodes still hold leases of the
+// previous leader that this VM has no record of.
+void control_task::checkLeadership() {
   const raft_core &Core = Log->core();
   if (!Core.isLeader() || Core.term() == LedTerm)
     return;
@@ -263,32 +271,32 @@
   Gateways.beginLeadership(steadySeconds());
   GuardPending.clear();
   PlacementPending = false;
-  logLine(log_level::Info, "leads control", {{"term", int64_t(LedTerm)}});
+  logLine(log_level::Info, "this VM became the control leader", {{"term", int64_t(LedTerm)}});
 }
 
 void control_task::tick() {
   double Now = steadySeconds();
   const raft_core &Core = Log->core();
-  noteLeadership();
+  checkLeadership();
   if (!Core.isLeader())
     Nodes.dropWaits();
   Nodes.poll(Now);
   if (leads(Now) && Now >= NextGuard)
     guardVersions(Now);
   if (leads(Now) && Now >= NextPlacement)
-    place(Now);
+    proposePlacement(Now);
   if (leads(Now) && Now >= NextRollouts)
     driveRollouts(Now);
-  if (Now >= NextFollow) {
-    NextFollow = Now + FollowSeconds;
-    followRouting();
+  if (Now >= NextRoutingUpdate) {
+    NextRoutingUpdate = Now + RoutingUpdateSeconds;
+    updateRouting();
   }
   Upstreams.tick(Now, leads(Now));
   Metrics.gauge("log_bytes", double(Log->storage().logBytes()));
   Metrics.gauge("log_syncs", double(Log->storage().syncs()));
   Metrics.gauge("commit_index", double(Core.commitIndex()));
-  Metrics.gauge("routing_news_bytes", double(RoutingNews.keptBytes()));
-  Metrics.gauge("routing_news_changes", double(RoutingNews.keptChanges()));
+  Metrics.gauge("routing_news_bytes", double(RoutingPublisher.keptBytes()));
+  Metrics.gauge("routing_news_changes", double(RoutingPublisher.keptChanges()));
 }
 
 void control_task::guardVersions(double Now) {
@@ -310,12 +318,12 @@
 
 void control_task::driveRollouts(double Now) {
   NextRollouts = Now + RolloutSeconds;
-  keepQuarantine(Now);
+  proposeQuarantineChanges(Now);
   Gateways.forgetSilent(Now);
-  noteEvacuations();
+  logEvacuationsInForce();
   for (wire::rollout_step &Step :
        Rollouts.steps(Log->state().rollouts(), Gateways, Now, wallSeconds())) {
-    logLine(log_level::Warning, "roll-out of a service moves on",
+    logLine(log_level::Warning, "moving the roll-out of a service to another stage",
             {{"service", Step.service()},
              {"version", Step.target_version()},
              {"from", wire::rollout_stage_Name(Step.from())},
@@ -327,11 +335,11 @@
   }
 }
 
-// One step at a time, each from what is true when it is taken: a leader that
-// is lost halfway leaves nothing that the next one has to know.
-void control_task::place(double Now) {
+// Proposes one placement step at a time, each computed from the state at that
+// moment. If the leader fails midway, its successor needs nothing from it.
+void control_task::proposePlacement(double Now) {
   NextPlacement = Now + PlacementSeconds;
-  if (PlacementPending || !Nodes.settled(Now))
+  if (PlacementPending || !Nodes.leasesComplete(Now))
     return;
   auto Step = Placer.next(Log->state().config(), Nodes, Now);
   if (!Step)
@@ -343,8 +351,9 @@
                [this](const apply_result *) { PlacementPending = false; });
 }
 
-// The last version that takes new work of its model is never stopped: a poor
-// answer is an operator's decision, no answer at all is not the guard's.
+// True if no other version of the model takes new work. The guard never stops
+// such a version: whether poor answers are worse than none is for an operator
+// to decide.
 bool control_task::isLastOfItsModel(const version_name &Name) const {
   const model_spec *Model = Log->state().config().model(Name.Model);
   return std::none_of(
@@ -364,7 +373,7 @@
 void control_task::stopScopes(const guard_report &Report) {
   if (isLastOfItsModel(Report.Name))
     return;
-  changeVersion(Report, "stopped for a part", [&](json &Version) {
+  changeVersion(Report, "stopped for some templates or accounts", [&](json &Version) {
     for (const guard_scope &Scope : Report.Stops) {
       bool IsTemplate = Scope.Kind == guard_scope::scope_kind::Template;
       Version["stopped_for"][IsTemplate ? "templates" : "accounts"].push_back(
@@ -373,10 +382,10 @@
   });
 }
 
-// Commits the guard's change of one version, unless someone else has changed
-// the model meanwhile.
+// Proposes the guard's change of one version. The change is rejected if the
+// model's document has been changed meanwhile.
 void control_task::changeVersion(const guard_report &Report,
-                                 std::string_view What,
+                                 std::string_view Change,
                                  const std::function<void(json &)> &Edit) {
   auto Object =
       Log->state().config().objects().find({"model", Report.Name.Model});
@@ -389,15 +398,15 @@
   wire::change_set *Set = Command.mutable_change();
   Set->set_change_id(absl::StrCat("guard-", Name, "-", Object->second.Index));
   Set->set_author("roll-out guard");
-  wire::config_change *Change = Set->add_changes();
-  Change->set_kind("model");
-  Change->set_name(Report.Name.Model);
-  Change->set_check_index(true);
-  Change->set_expected_index(Object->second.Index);
-  Change->set_document(Document->dump());
-  logLine(log_level::Warning, "roll-out guard changes a version",
+  wire::config_change *ConfigChange = Set->add_changes();
+  ConfigChange->set_kind("model");
+  ConfigChange->set_name(Report.Name.Model);
+  ConfigChange->set_check_index(true);
+  ConfigChange->set_expected_index(Object->second.Index);
+  ConfigChange->set_document(Document->dump());
+  logLine(log_level::Warning, "roll-out guard is changing a model version",
           {{"version", Name},
-           {"change", What},
+           {"change", Change},
            {"reason", Report.Reason},
            {"part", Report.Stops.empty() ? "" : Report.Stops[0].Name},
            {"evidence", Report.Evidence},
--- a/control/control_task.h
+++ b/control/control_task.h
@@ -1,8 +1,9 @@
 //===- control_task.h - The control role ------------------------*- C++ -*-===//
 //
-// Serves entries and sidecars (leases, claims, bills, ratings) and the
-// operators' interface from the replicated log, and runs the roll-out guard
-// while this VM leads.
+// Serves entries, sidecars and gateways from the replicated log: leases,
+// claims, bills, ratings, routing and crash reports. Also provides the
+// operators' HTTP interface. While this VM is the leader, it runs the roll-out
+// guard, the roll-outs of services and the placement of model versions.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,31 +25,40 @@
 namespace olivevalve {
 
 struct control_options {
-  std::string Address;         ///< For nodes and other control VMs.
-  std::string OperatorAddress; ///< HTTP.
+  std::string Address;         ///< Listens here for nodes and control VMs.
+  std::string OperatorAddress; ///< Listens here for operators' HTTP requests.
+  /// Digests of the keys that operators may use; empty: no key is required.
   std::vector<std::string> OperatorKeyDigests;
-  size_t LoadsAtOnce = 2; ///< Versions that the weight store gives out at once.
-  std::string UpstreamListAddress; ///< Empty: gateways ask for themselves.
+  /// Number of versions that may be loaded from the weight store at once.
+  size_t LoadsAtOnce = 2;
+  /// Address of the platform's list of upstreams; empty: control does not poll
+  /// the list and each gateway fetches it for itself.
+  std::string UpstreamListAddress;
   replicated_log_options Log;
 };
 
 class control_task {
 public:
+  /// Errors: BadConfiguration if an address cannot be bound, StorageFailed if
+  /// the data folder cannot be read.
   static absl::StatusOr<std::unique_ptr<control_task>>
   start(link_context &Context, struct ev_loop *Loop, metrics &Metrics,
         control_options Options);
 
+  /// True once this VM has or knows a leader.
   bool ready() const { return Log->core().leader() != 0; }
   void setPeers(std::vector<control_peer> Peers) {
     Log->setPeers(std::move(Peers));
   }
-  /// Stops taking operators' requests; true once those running have ended.
+  /// Stops accepting operators' requests. drained() is true once the requests
+  /// in progress have been answered.
   void drain() { Api->drain(); }
   bool drained() const { return Api->idle(); }
   std::string address() const { return Server.address(); }
   std::string operatorAddress() const { return Api->address(); }
 
-  std::function<void()> OnFailed; ///< The disk failed: the process must end.
+  /// Called when the disk has failed; the process must terminate.
+  std::function<void()> OnFailed;
 
 private:
   friend class operator_api;
@@ -57,7 +67,7 @@
   void receive(const std::string &Peer, const wire::envelope &Message);
   void onRenew(const std::string &Peer, const wire::renew &Renew);
   void grant(const std::string &Peer, const wire::renew &Renew, double Now);
-  void fillEstimates(wire::estimate_table &Table, uint64_t Known) const;
+  void fillEstimates(wire::estimate_table &Table, uint64_t HeldIndex) const;
   void redirect(const std::string &Peer);
   void onClaim(const std::string &Peer, const wire::claim &Claim);
   void onFinish(const std::string &Peer, const wire::finish &Finish);
@@ -67,25 +77,27 @@
   void onApplied(uint64_t Index, const apply_result &Result);
   void pushConfig();
   void onWatch(const std::string &Peer, const wire::watch &Watch);
-  void onRoutingAsk(const std::string &Peer, const wire::routing_ask &Ask);
-  void followRouting();
+  void onRoutingRequest(const std::string &Peer,
+                        const wire::routing_ask &Request);
+  void updateRouting();
   void sendNotice(const std::string &Peer);
-  void countParts(const wire::notice &Notice);
-  void tellGateways();
-  void pushNotices();
-  void hearCrashes(const wire::crash_news &News, double Now);
-  void keepQuarantine(double Now);
-  void fillQuarantine(uint64_t Held, wire::quarantine_news &News) const;
-  void noteEvacuations();
-  void noteLeadership();
+  void countNoticeBytes(const wire::notice &Notice);
+  void scheduleNotices();
+  void sendAllNotices();
+  void receiveCrashReports(const wire::crash_news &Crashes, double Now);
+  void proposeQuarantineChanges(double Now);
+  void fillQuarantine(uint64_t Held, wire::quarantine_news &Crashes) const;
+  void logEvacuationsInForce();
+  void checkLeadership();
   void tick();
   void guardVersions(double Now);
   void driveRollouts(double Now);
-  void place(double Now);
-  bool isLastOfItsModel(const version_name &Name) const;
+  void proposePlacement(double Now);
+  void fillQuarantine(uint64_t HeldRevision,
+                      wire::quarantine_news &Update) const;
   void setVersionState(const guard_report &Report, version_state State);
   void stopScopes(const guard_report &Report);
-  void changeVersion(const guard_report &Report, std::string_view What,
+  void changeVersion(const guard_report &Report, std::string_view Change,
                      const std::function<void(json &)> &Edit);
   bool leads(double Now) const { return Log->core().hasLeaderLease(Now); }
 
@@ -100,23 +112,26 @@
   gateway_table Gateways;
   rollout_driver Rollouts;
   quarantine_keeper Quarantine;
-  upstream_news Upstreams;
-  routing_news RoutingNews;
+  upstream_list_publisher Upstreams;
+  routing_news RoutingPublisher;
   uint64_t LedTerm = 0;
   std::map<std::string, bool> GuardPending;
   std::vector<guard_report> Reports;
   double NextGuard = 0;
   double NextPlacement = 0;
   double NextRollouts = 0;
-  double NextFollow = 0; ///< When the newest routing is read into parts again.
-  double ToldAt = 0;     ///< Gateways, of changes.
-  uint64_t TellsRouting = 0;  ///< Version that gateways were told last.
-  uint64_t TellsRollouts = 0; ///< Revision that gateways were told last.
-  uint64_t TellsQuarantine = 0;
-  uint64_t TellsEvacuations = 0;
-  uint64_t EvacuationsInForce = 0; ///< Revision that all gateways hold.
+  /// When the newest routing is next encoded, even if no gateway requests it.
+  double NextRoutingUpdate = 0;
+  double NoticesSentAt = 0; ///< When notices last went to all gateways.
+  // Versions and revisions in the notices last sent to all gateways.
+  uint64_t SentRoutingVersion = 0;
+  uint64_t SentRolloutsRevision = 0;
+  uint64_t SentQuarantineRevision = 0;
+  uint64_t SentEvacuationsRevision = 0;
+  /// Newest revision that all gateways hold, as logged.
+  uint64_t EvacuationsInForce = 0;
   bool PlacementPending = false;
-  timer NewsTimer;
+  timer NoticeTimer;
   timer Timer;
 };
 
--- a/control/node_table.cpp
+++ b/control/node_table.cpp
@@ -7,20 +7,22 @@
 
 namespace {
 
-// Control counts a lease longer than the node by the drift between clocks.
-constexpr double HeldSeconds = LeaseSeconds * (1 + DriftShare);
-// A node that was not heard for so long is no longer listed.
-constexpr double ForgetSeconds = 600;
-// Part of a client account's limits that is spread evenly, so that an entry
-// where traffic begins has something at once; the rest follows demand.
-constexpr double EvenPart = 0.3;
+// Control counts a lease as longer than the node does, by the tolerated drift
+// between their clocks.
+constexpr double ControlLeaseSeconds = LeaseSeconds * (1 + DriftShare);
+// Nodes not seen for this long are removed from the table.
+constexpr double NodeRetentionSeconds = 600;
+// Share of a client account's limits that is split evenly among entries, so
+// that an entry has some allowance as soon as traffic reaches it. The rest is
+// split by demand.
+constexpr double EvenShare = 0.3;
 
 } // namespace
 
 void node_table::reset(double Now) {
   Nodes.clear();
   Waits.clear();
-  Barrier = Now + HeldSeconds;
+  Barrier = Now + ControlLeaseSeconds;
 }
 
 void node_table::renewed(const std::string &Peer, const wire::renew &Renew,
@@ -30,12 +32,12 @@
   Node.Role = Renew.role();
   Node.DataHall = Renew.data_hall();
   Node.Incarnation = Renew.incarnation();
-  Node.Acked = std::max(Node.Acked, Renew.config_index());
+  Node.HeldConfigIndex = std::max(Node.HeldConfigIndex, Renew.config_index());
   Node.LastSeen = Now;
   Node.Stopping = Renew.stopping();
   Node.OpenRequests = Renew.open_requests();
   if (Renew.has_upstream_news())
-    Node.News = Renew.upstream_news();
+    Node.SidecarReport = Renew.upstream_news();
   Node.VersionLoads.clear();
   for (const wire::version_load &Load : Renew.version_loads())
     Node.VersionLoads[Load.version()] = Load.in_flight();
@@ -47,7 +49,7 @@
 void node_table::granted(const std::string &Peer, double Now) {
   auto It = Nodes.find(Peer);
   if (It != Nodes.end())
-    It->second.LeaseEnd = Now + HeldSeconds;
+    It->second.LeaseEnd = Now + ControlLeaseSeconds;
 }
 
 void node_table::left(const std::string &Peer) {
@@ -56,36 +58,37 @@
     It->second.LeaseEnd = 0;
 }
 
-// Leases granted from now on carry the change, so only those that run now
-// have to be waited for.
+// Leases granted from now on include the change, so only nodes with a current
+// lease have to be waited for.
 void node_table::awaitInForce(uint64_t Index, double Now,
                               std::function<void(double)> Done) {
   wait Wait{Index, Now, {}, Barrier, std::move(Done)};
   for (const auto &[Peer, Node] : Nodes)
-    if (Node.LeaseEnd > Now && Node.Acked < Index)
+    if (Node.LeaseEnd > Now && Node.HeldConfigIndex < Index)
       Wait.Holders[Peer] = Node.LeaseEnd;
   Waits.push_back(std::move(Wait));
 }
 
 void node_table::poll(double Now) {
-  std::vector<wait> Settled;
+  std::vector<wait> Completed;
   for (wait &Wait : Waits)
     std::erase_if(Wait.Holders, [&](const auto &Holder) {
       auto It = Nodes.find(Holder.first);
-      bool HasIt = It != Nodes.end() && It->second.Acked >= Wait.Index;
-      bool Left = It != Nodes.end() && It->second.LeaseEnd == 0;
-      return HasIt || Left || Now >= Holder.second;
+      bool HasIndex =
+          It != Nodes.end() && It->second.HeldConfigIndex >= Wait.Index;
+      bool Released = It != Nodes.end() && It->second.LeaseEnd == 0;
+      return HasIndex || Released || Now >= Holder.second;
     });
   std::erase_if(Waits, [&](wait &Wait) {
     if (!Wait.Holders.empty() || Now < Wait.Barrier)
       return false;
-    Settled.push_back(std::move(Wait));
+    Completed.push_back(std::move(Wait));
     return true;
   });
-  for (wait &Wait : Settled)
+  for (wait &Wait : Completed)
     Wait.Done(Now - Wait.Since);
   std::erase_if(Nodes, [&](const auto &Node) {
-    return Now > Node.second.LastSeen + ForgetSeconds;
+    return Now > Node.second.LastSeen + NodeRetentionSeconds;
   });
 }
 
@@ -103,10 +106,10 @@
   }));
 }
 
-// A new leader hears of entries one by one, and would grant the first the whole
-// and the second a half.
-double node_table::perEntry(double Whole, double Now) const {
-  return settled(Now) ? Whole / std::max(1U, entries(Now)) : 0;
+// Renewals reach a new leader one by one. Without the check it would grant the
+// first entry all of the total and the second one half.
+double node_table::perEntry(double Total, double Now) const {
+  return leasesComplete(Now) ? Total / std::max(1U, entries(Now)) : 0;
 }
 
 std::vector<wire::account_share> node_table::sharesOf(const std::string &Peer,
@@ -115,7 +118,7 @@
   auto Self = Nodes.find(Peer);
   if (Self == Nodes.end())
     return Shares;
-  double Even = EvenPart / std::max(1U, entries(Now));
+  double Even = EvenShare / std::max(1U, entries(Now));
   for (const auto &[Account, Own] : Self->second.Demand) {
     double Total = 0;
     for (const auto &[Other, Node] : Nodes) {
@@ -126,7 +129,7 @@
     wire::account_share Share;
     Share.set_account(Account);
     double ByDemand = Total > 0 ? Own / Total : 0;
-    Share.set_share(std::min(1.0, Even + (1 - EvenPart) * ByDemand));
+    Share.set_share(std::min(1.0, Even + (1 - EvenShare) * ByDemand));
     Shares.push_back(std::move(Share));
   }
   return Shares;
--- a/control/node_table.h
+++ b/control/node_table.h
@@ -1,8 +1,8 @@
 //===- node_table.h - Leases of entries and sidecars ------------*- C++ -*-===//
 //
-// The leader's view: which nodes may hold a lease until when, which index each
-// has in force, and which accepted changes are still waited for. Pure: times
-// are passed in.
+// The leader's record of the nodes: until when each may hold a lease, which
+// configuration index each has applied, and which committed changes still wait
+// for nodes to apply them. Pure: times are passed in, in steady seconds.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,62 +18,73 @@
 
 namespace olivevalve {
 
+/// One node, as of its last renewal.
 struct node_record {
   std::string Node;
-  std::string Role;
+  std::string Role; ///< "entry" or "sidecar".
   std::string DataHall;
-  uint64_t Incarnation = 0;
-  uint64_t Acked = 0;  ///< Configuration index in force there.
-  double LeaseEnd = 0; ///< Never before the node's own view of it.
+  uint64_t Incarnation = 0; ///< Differs for each start of the node.
+  /// Index of the configuration in force at the node.
+  uint64_t HeldConfigIndex = 0;
+  /// When its lease has ended for certain, never earlier than by the node's own
+  /// clock; 0: the node holds no lease.
+  double LeaseEnd = 0;
   double LastSeen = 0;
   bool Stopping = false;
-  uint32_t OpenRequests = 0; ///< Entries.
-  wire::news News;           ///< Sidecars.
-  /// Managed upstreams: requests by version.
+  uint32_t OpenRequests = 0; ///< Entries only.
+  wire::news SidecarReport;  ///< Sidecars only: the last report.
+  /// Sidecars of managed upstreams: requests running and queued, by version.
   std::map<std::string, uint32_t> VersionLoads;
-  std::map<std::string, double> Demand; ///< Entries: requests per second.
+  /// Entries: requests per second, by client account.
+  std::map<std::string, double> Demand;
 };
 
 class node_table {
 public:
-  /// Forgets everything, at the start of a leadership. No change counts as in
-  /// force before leases of the last leader have ended.
+  /// Drops all nodes and waits, at the start of a leadership. No change counts
+  /// as in force until the leases of the previous leader have expired.
   void reset(double Now);
-  /// Takes in a renewal of \p Peer.
+  /// Records a renewal from \p Peer.
   void renewed(const std::string &Peer, const wire::renew &Renew, double Now);
-  /// A lease was granted to \p Peer just now.
+  /// Records that a lease was granted to \p Peer at \p Now.
   void granted(const std::string &Peer, double Now);
-  /// The node has given its lease up.
+  /// Records that \p Peer has given up its lease.
   void left(const std::string &Peer);
 
-  /// Calls \p Done once every holder has \p Index or no lease any more.
-  /// The argument is the seconds it took.
+  /// Calls \p Done once every node that holds a lease has applied \p Index or
+  /// has lost its lease. The argument is the wait in seconds.
   void awaitInForce(uint64_t Index, double Now,
                     std::function<void(double)> Done);
-  /// Settles waits and forgets nodes long gone.
+  /// Completes waits that are over and removes nodes not seen for a long time.
   void poll(double Now);
-  /// Leadership lost: waits end without an answer.
+  /// Drops all waits without calling back, when leadership is lost.
   void dropWaits() { Waits.clear(); }
 
-  /// True if the start of a node called \p Incarnation may hold a lease; also
-  /// when this leader cannot know yet.
+  /// True if the node start \p Incarnation may hold a lease. Also true while
+  /// leases of the previous leader may still run, as they are not recorded
+  /// here.
   bool holdsLease(uint64_t Incarnation, double Now) const;
+  /// Number of entries that hold a lease.
   uint32_t entries(double Now) const;
-  /// What each entry may have of \p Whole, so that all together have no more;
-  /// 0 while entries may hold leases that this leader has not heard of.
-  double perEntry(double Whole, double Now) const;
-  /// False while nodes may hold leases that this leader has not heard of.
-  bool settled(double Now) const { return Now >= Barrier; }
-  /// \p Peer's share of the limits of the accounts it reported demand for.
+  /// An equal share of \p Total for each entry, so that all entries together
+  /// do not exceed it; 0 while entries may hold leases of the previous leader.
+  double perEntry(double Total, double Now) const;
+  /// False while nodes may hold leases of the previous leader, which are not
+  /// recorded here.
+  bool leasesComplete(double Now) const { return Now >= Barrier; }
+  /// Shares of \p Peer, from 0 to 1, in the limits of the client accounts that
+  /// it reported demand for. Empty if \p Peer is not in the table.
   std::vector<wire::account_share> sharesOf(const std::string &Peer,
                                             double Now) const;
+  /// All nodes, by the name of their link.
   const std::map<std::string, node_record> &nodes() const { return Nodes; }
 
 private:
   struct wait {
     uint64_t Index;
     double Since;
-    std::map<std::string, double> Holders; ///< Peer to lease end.
+    /// Lease ends of the nodes that have not applied Index, by link name.
+    std::map<std::string, double> Holders;
     double Barrier;
     std::function<void(double)> Done;
   };
--- a/control/replicated_log.cpp
+++ b/control/replicated_log.cpp
@@ -1,4 +1,4 @@
-//===- replicated_log.cpp - The agreement at work -------------------------===//
+//===- replicated_log.cpp - Raft with disk, network and timers ------------===//
 
 #include "control/replicated_log.h"
 #include "base/clock.h"
@@ -13,13 +13,14 @@
 
 constexpr double TickSeconds = 0.03;
 constexpr double AnnounceSeconds = 0.5;
-// A peer that said within this time that it has no group counts as empty.
-constexpr double EmptyFreshSeconds = 2.0;
+// A peer counts as empty for this time after its reply that it belongs to no
+// group.
+constexpr double EmptyReplySeconds = 2.0;
 
 } // namespace
 
 uint64_t controlIdOf(const std::string &Address) {
-  // Numbers of listed control VMs are small; these are not.
+  // The top bit avoids collisions with ids from the settings, which are small.
   return checksum(Address) | (uint64_t(1) << 63);
 }
 
@@ -37,7 +38,7 @@
       Durable.Snapshot.Index == 0 || Log->State.restore(Durable.Snapshot.Image);
   if (!Restorable)
     return makeError(error_kind::StorageFailed,
-                     Log->Options.Folder + "/snapshot: cannot be read");
+                     Log->Options.Folder + "/snapshot: cannot be decoded");
   raft_options Core{.Id = Log->Options.Id, .Disk = Log->Storage->disk()};
   Core.Seed = randomIncarnation();
   Core.TargetVoters = Log->Options.TargetVoters;
@@ -46,8 +47,9 @@
   Core.OperatorAddress = Log->Options.OperatorAddress;
   Log->Core =
       std::make_unique<raft_core>(Core, std::move(Durable), steadySeconds());
-  // A message to a VM that is not connected yet is lost, and with the first
-  // question for votes goes a whole election.
+  // Connect before the first election. A message to a VM that is not connected
+  // yet is dropped, and losing the first vote request would cost an election
+  // timeout.
   for (const wire::member &Member : Log->Core->members().members())
     if (Member.id() != Core.Id)
       Log->linkTo(Member.id());
@@ -58,7 +60,7 @@
 replicated_log::replicated_log(link_context &Context, struct ev_loop *Loop,
                                replicated_log_options NewOptions)
     : Context(Context), Loop(Loop), Options(std::move(NewOptions)),
-      Timer(Loop, [this] { tick(); }), Soon(Loop, [] {}),
+      Timer(Loop, [this] { tick(); }), WakeUp(Loop, [] {}),
       Prepare(Loop, [this] { flush(); }) {}
 
 void replicated_log::tick() {
@@ -72,9 +74,10 @@
   snapshotIfDue();
 }
 
-// A VM outside any group tells all others that it is there. Only when every
-// listed VM says that it is empty too does the lowest number start a group:
-// a VM that lost its disk must never start a second one.
+// Announces this VM, which belongs to no group, to the other control VMs. It
+// starts a new group only if it has the lowest id in the settings and every
+// other VM listed there has recently replied that it is empty too. This keeps
+// a VM that has lost its disk from starting a second group.
 void replicated_log::announce(double Now) {
   NextAnnounce = Now + AnnounceSeconds;
   for (const control_peer &Peer : Options.Peers)
@@ -82,12 +85,13 @@
       announceTo(Peer.Id);
   if (!JoinAddress.empty() && JoinAddress != Options.Address) {
     uint64_t Leader = controlIdOf(JoinAddress);
-    Strangers[Leader] = JoinAddress;
+    LearnedAddresses[Leader] = JoinAddress;
     announceTo(Leader);
   }
   if (!mayStartGroup(Now))
     return;
-  logLine(log_level::Info, "starting a new control group");
+  logLine(log_level::Info,
+          "all listed control VMs are empty, starting a new control group");
   Core->bootstrap(hexOf(randomIncarnation()), Now);
 }
 
@@ -107,19 +111,19 @@
 bool replicated_log::mayStartGroup(double Now) const {
   if (!Options.MayBootstrap || !Core->group().empty())
     return false;
-  bool Listed = false;
+  bool SelfListed = false;
   for (const control_peer &Peer : Options.Peers) {
     if (Peer.Id == Options.Id) {
-      Listed = true;
+      SelfListed = true;
       continue;
     }
-    auto Said = EmptyPeers.find(Peer.Id);
+    auto Reply = EmptyPeers.find(Peer.Id);
     bool Empty =
-        Said != EmptyPeers.end() && Now < Said->second + EmptyFreshSeconds;
+        Reply != EmptyPeers.end() && Now < Reply->second + EmptyReplySeconds;
     if (Peer.Id < Options.Id || !Empty)
       return false;
   }
-  return Listed;
+  return SelfListed;
 }
 
 void replicated_log::onAnnounceReply(const wire::raft &Message) {
@@ -138,8 +142,8 @@
   for (const control_peer &Peer : Options.Peers)
     if (Peer.Id == Id)
       return Peer.Address;
-  auto It = Strangers.find(Id);
-  return It == Strangers.end() ? "" : It->second;
+  auto It = LearnedAddresses.find(Id);
+  return It == LearnedAddresses.end() ? "" : It->second;
 }
 
 client_link *replicated_log::linkTo(uint64_t Id) {
@@ -163,7 +167,7 @@
     return;
   }
   if (Message.purpose() == wire::raft::ANNOUNCE)
-    Strangers[Message.from()] = Message.address();
+    LearnedAddresses[Message.from()] = Message.address();
   Core->step(Message, steadySeconds());
 }
 
@@ -172,8 +176,9 @@
   auto Index = Core->propose(Command.SerializeAsString());
   if (!Index)
     return false;
-  Soon.startOnce(0);
-  Waiters[*Index] = {.Term = Core->term(), .Handler = std::move(Handler)};
+  WakeUp.startOnce(0);
+  PendingProposals[*Index] = {.Term = Core->term(),
+                              .Handler = std::move(Handler)};
   return true;
 }
 
@@ -222,7 +227,8 @@
       send(Output.Early);
     send(Output.Late);
     if (Output.Install && !State.restore(Output.Install->Image))
-      logLine(log_level::Error, "snapshot from the leader cannot be read");
+      logLine(log_level::Error,
+              "cannot decode the snapshot received from the leader");
     for (const wire::log_entry &Entry : Output.Committed)
       apply(Entry);
   }
@@ -231,28 +237,29 @@
 void replicated_log::apply(const wire::log_entry &Entry) {
   apply_result Result =
       State.apply(Entry.index(), Entry.is_members() ? "" : Entry.data());
-  auto It = Waiters.find(Entry.index());
-  if (It != Waiters.end()) {
-    waiter Waiter = std::move(It->second);
-    Waiters.erase(It);
-    // Another leader's entry may stand where this VM's proposal was to be.
-    Waiter.Handler(Waiter.Term == Entry.term() ? &Result : nullptr);
+  auto It = PendingProposals.find(Entry.index());
+  if (It != PendingProposals.end()) {
+    pending_proposal Proposal = std::move(It->second);
+    PendingProposals.erase(It);
+    // An entry of another leader may have replaced the one proposed here.
+    Proposal.Handler(Proposal.Term == Entry.term() ? &Result : nullptr);
   }
   if (OnApplied)
     OnApplied(Entry.index(), Result);
 }
 
 void replicated_log::dropHandlers() {
-  std::map<uint64_t, waiter> Dropped = std::move(Waiters);
-  Waiters.clear();
-  for (auto &[Index, Waiter] : Dropped)
-    Waiter.Handler(nullptr);
+  std::map<uint64_t, pending_proposal> Dropped = std::move(PendingProposals);
+  PendingProposals.clear();
+  for (auto &[Index, Proposal] : Dropped)
+    Proposal.Handler(nullptr);
 }
 
 void replicated_log::snapshotIfDue() {
   if (Failed || Storage->logBytes() < Options.SnapshotBytes)
     return;
-  // Everything handed out must be written before the log file is replaced.
+  // Entries already handed out by the core must be written before the log file
+  // is replaced.
   flush();
   uint64_t Index = State.appliedIndex();
   if (Failed || Index <= Core->snapshot().Index)
@@ -263,7 +270,7 @@
   if (Status.ok())
     return;
   Failed = true;
-  logLine(log_level::Error, "snapshot failed, stopping",
+  logLine(log_level::Error, "writing the snapshot failed, stopping",
           {{"error", messageOf(Status)}});
   if (OnStorageFailed)
     OnStorageFailed();
--- a/control/replicated_log.h
+++ b/control/replicated_log.h
@@ -1,8 +1,9 @@
-//===- replicated_log.h - The agreement at work -----------------*- C++ -*-===//
+//===- replicated_log.h - Raft with disk, network and timers ----*- C++ -*-===//
 //
-// Drives the pure core with real time, disk and messages. Commands proposed in
-// one turn of the loop share one sync. A disk that fails ends the process:
-// what was promised can no longer be kept here.
+// Connects the Raft core, which does no input or output itself, to the clock,
+// the disk and the links between control VMs. Commands proposed in one
+// iteration of the event loop share one sync. The process terminates if the
+// disk fails, because it can no longer persist its vote and log entries.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,51 +20,63 @@
 
 namespace olivevalve {
 
+/// A control VM as named in the settings.
 struct control_peer {
   uint64_t Id = 0;
   std::string Address;
 };
 
-/// The number of a control VM that is known by its address alone.
+/// The id of a control VM of which only the address is known: a hash of the
+/// address with the top bit set.
 uint64_t controlIdOf(const std::string &Address);
 
 struct replicated_log_options {
-  uint64_t Id = 0;
-  std::string Address; ///< Where nodes and other control VMs connect.
-  std::string OperatorAddress;
-  std::string Folder;
-  /// All control VMs, this one included; or some that this one may ask when it
-  /// joins, this one included or not.
+  uint64_t Id = 0;     ///< Of this VM.
+  std::string Address; ///< Where nodes and other control VMs connect to it.
+  std::string OperatorAddress; ///< Passed on to the other members.
+  std::string Folder;          ///< Of the log and the snapshot.
+  /// All control VMs, including this one; or, for a VM that joins a group, some
+  /// VMs to send its announcement to, which may or may not include this one.
   std::vector<control_peer> Peers;
-  /// False: this VM joins a group and never starts one.
+  /// False: this VM only joins an existing group and never starts one.
   bool MayBootstrap = true;
-  size_t TargetVoters = 3;
-  double SilentSeconds = 30;
-  uint64_t SnapshotBytes = 8 << 20; ///< Log size that calls for a snapshot.
+  size_t TargetVoters = 3;   ///< Learners become voters up to this count.
+  double SilentSeconds = 30; ///< A silent voter may be replaced after this.
+  /// A snapshot is taken when the log has grown to this size.
+  uint64_t SnapshotBytes = 8 << 20;
 };
 
 class replicated_log {
 public:
-  /// Null result: leadership was lost, the command may or may not be there.
+  /// Called once the command has been applied. A null result means that
+  /// leadership was lost: the command may or may not be committed.
   using result_handler = std::function<void(const apply_result *)>;
 
+  /// Errors: StorageFailed if the folder or its snapshot cannot be read.
   static absl::StatusOr<std::unique_ptr<replicated_log>>
   open(link_context &Context, struct ev_loop *Loop,
        replicated_log_options Options);
 
+  /// Handles a Raft message from another control VM.
   void step(const wire::raft &Message);
-  /// False if this VM does not lead.
+  /// Proposes \p Command. Returns false, and does not call \p Handler, if this
+  /// VM is not the leader.
   bool propose(wire::command Command, result_handler Handler);
   const state_machine &state() const { return State; }
   const raft_core &core() const { return *Core; }
   const raft_storage &storage() const { return *Storage; }
+  /// Starts the removal of a member. Returns false if this VM is not the
+  /// leader, \p Id is this VM or no member, or another membership change is in
+  /// progress.
   bool removeMember(uint64_t Id) { return Core->removeMember(Id); }
-  /// VMs to ask from now on when this one has to join.
+  /// Replaces the VMs to which this VM announces itself when it has to join.
   void setPeers(std::vector<control_peer> Peers) {
     Options.Peers = std::move(Peers);
   }
 
+  /// Called for every committed entry once it has been applied.
   std::function<void(uint64_t Index, const apply_result &)> OnApplied;
+  /// Called when a write has failed; nothing is written from then on.
   std::function<void()> OnStorageFailed;
 
 private:
@@ -90,19 +103,24 @@
   std::unique_ptr<raft_core> Core;
   state_machine State;
   std::map<uint64_t, std::unique_ptr<client_link>> Links;
-  struct waiter {
+  struct pending_proposal {
     uint64_t Term = 0;
     result_handler Handler;
   };
-  std::map<uint64_t, waiter> Waiters;
-  std::map<uint64_t, double> EmptyPeers;     ///< Said to have no group, when.
-  std::map<uint64_t, std::string> Strangers; ///< Addresses of VMs that join.
-  std::string JoinAddress; ///< Of the leader, as another member says.
+  std::map<uint64_t, pending_proposal> PendingProposals;
+  /// When each peer last replied that it belongs to no group.
+  std::map<uint64_t, double> EmptyPeers;
+  /// Addresses of VMs that are neither members nor in the settings: VMs that
+  /// announced themselves, and the leader of the group to join.
+  std::map<uint64_t, std::string> LearnedAddresses;
+  /// Address of the leader, from the reply of a member to an announcement.
+  std::string JoinAddress;
   double NextAnnounce = 0;
   bool Failed = false;
   bool HadLeadership = false;
   timer Timer;
-  timer Soon; ///< Makes the loop turn once more, so that flush() runs.
+  /// Wakes the event loop so that flush() runs without delay.
+  timer WakeUp;
   before_wait Prepare;
 };
 
