--- a/control/gateway_news.cpp
+++ b/control/gateway_news.cpp
@@ -1,7 +1,8 @@
-//===- gateway_news.cpp - What control tells gateways ---------------------===//
+//===- gateway_news.cpp - Control's messages to gateways ------------------===//
 //
-// The part of control_task that answers gateways: small notices, always in
-// time, and the pieces of the routing that they ask for.
+// The part of control_task that serves gateways. It sends small notices, which
+// must not be delayed by large messages, and the pieces of the routing that a
+// gateway requests.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,45 +17,47 @@
 
 namespace {
 
-// Between two tellings of changes; each has to be in force within 2 s.
-constexpr double LeastNewsSeconds = 0.25;
+// Minimum time between two notices about changes. Each change has to be in
+// force at the gateways within 2 s.
+constexpr double MinNoticeGapSeconds = 0.25;
 
 } // namespace
 
 void control_task::onWatch(const std::string &Peer, const wire::watch &Watch) {
   double Now = steadySeconds();
   Gateways.watched(Peer, Watch, Now);
-  hearCrashes(Watch.crashes(), Now);
+  receiveCrashReports(Watch.crashes(), Now);
   sendNotice(Peer);
 }
 
-void control_task::hearCrashes(const wire::crash_news &News, double Now) {
-  if (News.crashes_size() + News.answered_size() == 0)
+void control_task::receiveCrashReports(const wire::crash_news &Crashes,
+                                       double Now) {
+  if (Crashes.crashes_size() + Crashes.answered_size() == 0)
     return;
-  Quarantine.heard(News, Now);
+  Quarantine.heard(Crashes, Now);
   if (leads(Now))
-    keepQuarantine(Now);
+    proposeQuarantineChanges(Now);
 }
 
-// Nothing where the receiver holds it already.
-void control_task::fillQuarantine(uint64_t Held,
-                                  wire::quarantine_news &News) const {
-  const quarantine_book &Book = Log->state().quarantine();
-  if (Book.revision() <= Held)
+// Adds nothing if the receiver holds the current revision.
+void control_task::fillQuarantine(uint64_t HeldRevision,
+                                  wire::quarantine_news &Update) const {
+  const quarantine_book &Committed = Log->state().quarantine();
+  if (Committed.revision() <= HeldRevision)
     return;
-  News.set_revision(Book.revision());
-  for (const wire::quarantined_request &Each : Book.all())
-    *News.add_requests() = Each;
+  Update.set_revision(Committed.revision());
+  for (const wire::quarantined_request &Each : Committed.all())
+    *Update.add_requests() = Each;
 }
 
-void control_task::keepQuarantine(double Now) {
+void control_task::proposeQuarantineChanges(double Now) {
   for (wire::quarantine_change &Change :
        Quarantine.changes(Log->state().quarantine(), Now)) {
     const wire::request_name &Name =
         Change.has_add() ? Change.add().request() : Change.release();
     logLine(log_level::Warning,
-            Change.has_add() ? "request to be quarantined"
-                             : "request to be let out of quarantine",
+            Change.has_add() ? "proposing to quarantine a request"
+                             : "proposing to release a request from quarantine",
             {{"request", hexOf(digestOf(Name))},
              {"upstreams_ended", int64_t(Change.add().upstreams_size())}});
     wire::command Command;
@@ -63,10 +66,11 @@
   }
 }
 
-// For operators' logs: from then on nothing new goes to the evacuated halls.
-void control_task::noteEvacuations() {
+// Logs once per revision that every gateway holds the current evacuations: from
+// then on no new request goes to an evacuated data hall.
+void control_task::logEvacuationsInForce() {
   uint64_t Revision = Log->state().evacuations().revision();
-  bool Behind = Gateways.behindEvacuations(Revision) > 0;
+  bool Behind = Gateways.countBehindEvacuations(Revision) > 0;
   if (Revision == EvacuationsInForce || Behind || Gateways.gateways().empty())
     return;
   EvacuationsInForce = Revision;
@@ -76,12 +80,12 @@
            {"gateways", int64_t(Gateways.gateways().size())}});
 }
 
-// Gateways ask for what they lack: whole tables sent unasked would fill their
-// links and control's memory.
-void control_task::onRoutingAsk(const std::string &Peer,
-                                const wire::routing_ask &Ask) {
-  followRouting();
-  auto Piece = RoutingNews.piece(Ask);
+// Sends one piece per request. Complete tables sent without a request would
+// fill the gateways' links and control's memory.
+void control_task::onRoutingRequest(const std::string &Peer,
+                                    const wire::routing_ask &Request) {
+  updateRouting();
+  auto Piece = RoutingPublisher.piece(Request);
   if (!Piece)
     return;
   wire::envelope Message;
@@ -89,25 +93,26 @@
   Server.send(Peer, Message);
 }
 
-void control_task::followRouting() {
+void control_task::updateRouting() {
   const routing_book &Routing = Log->state().routing();
-  if (Routing.version() <= RoutingNews.version())
+  if (Routing.version() <= RoutingPublisher.version())
     return;
-  if (auto Config = Api->routing().takeRead(Routing.document()))
-    return RoutingNews.take(*Config);
+  if (auto Config = Api->routing().takeParsed(Routing.document()))
+    return RoutingPublisher.take(*Config);
   auto Config = readRouting(Routing.document());
   if (!Config.ok()) {
-    // Checked before it was agreed on, so this is a newer form of documents.
-    logLine(log_level::Error, "routing configuration cannot be read",
+    // The document was checked before it was committed, so it has a newer
+    // format than this version of the software can read.
+    logLine(log_level::Error, "cannot read the committed routing configuration",
             {{"version", int64_t(Routing.version())},
              {"reason", messageOf(Config.status())}});
     return;
   }
-  RoutingNews.take(*Config);
+  RoutingPublisher.take(*Config);
 }
 
-// The parts of notices that can be large, each by itself.
-void control_task::countParts(const wire::notice &Notice) {
+// Counts the bytes of those parts of a notice that can be large.
+void control_task::countNoticeBytes(const wire::notice &Notice) {
   if (Notice.has_upstreams())
     Metrics.count("notice_bytes",
                   Notice.upstreams().whole() ? "whole list of upstreams"
@@ -123,10 +128,11 @@
     Metrics.count("notice_bytes", "addresses of gateways", Addresses);
 }
 
-// Only what is newer than the gateway holds, and small; members and leader
-// always, so that the gateway knows whom to ask next.
+// Sends what is newer than the state that the gateway holds. Large items are
+// only named, so that a notice stays small. Members and leader are always
+// included, so that the gateway can choose which control VM to poll next.
 void control_task::sendNotice(const std::string &Peer) {
-  noteLeadership();
+  checkLeadership();
   const gateway_record &Gateway = *Gateways.find(Peer);
   const state_machine &State = Log->state();
   const raft_core &Core = Log->core();
@@ -147,40 +153,42 @@
     Vm->set_id(Member.id());
     Vm->set_address(Member.address());
   }
-  bool Sure = !Core.isLeader() || leads(steadySeconds());
-  Notice->set_leader(Sure ? Core.leader() : 0);
+  bool LeaderCertain = !Core.isLeader() || leads(steadySeconds());
+  Notice->set_leader(LeaderCertain ? Core.leader() : 0);
   if (Core.isLeader()) {
     double Now = steadySeconds();
     if (auto Count = Gateways.count(Now))
       Notice->set_gateways(*Count);
     Gateways.fillAddresses(Peer, *Notice);
-    Notice->set_tells_upstreams(Upstreams.asks());
+    Notice->set_tells_upstreams(Upstreams.fetchesList());
     Upstreams.fill({.Revision = Gateway.UpstreamsRevision,
-                    .HadAt = Gateway.UpstreamsHadAt,
-                    .ToldWholeAt = Gateway.ToldListAt},
+                    .FetchedAt = Gateway.UpstreamsFetchedAt,
+                    .FullListSentAt = Gateway.FullListSentAt},
                    Now, *Notice);
     if (Notice->has_upstreams())
-      Gateways.toldUpstreams(Peer, *Notice, Now);
+      Gateways.recordListSent(Peer, *Notice, Now);
   }
   Gateways.fillStaying(Peer, steadySeconds(), *Notice);
-  countParts(*Notice);
+  countNoticeBytes(*Notice);
   Server.send(Peer, Message);
 }
 
-// Soon: with changes in quick succession each gateway hears of several at once.
-void control_task::tellGateways() {
-  if (!NewsTimer.active())
-    NewsTimer.startOnce(
-        std::max(0.0, ToldAt + LeastNewsSeconds - steadySeconds()));
+// Delays the notices if the last ones were sent a moment ago, so that changes
+// in quick succession share one notice.
+void control_task::scheduleNotices() {
+  if (!NoticeTimer.active())
+    NoticeTimer.startOnce(
+        std::max(0.0, NoticesSentAt + MinNoticeGapSeconds - steadySeconds()));
 }
 
-// Gateways ask one control VM at a time, so each that is asked tells its own.
-void control_task::pushNotices() {
-  ToldAt = steadySeconds();
-  TellsRouting = Log->state().routing().version();
-  TellsRollouts = Log->state().rollouts().revision();
-  TellsQuarantine = Log->state().quarantine().revision();
-  TellsEvacuations = Log->state().evacuations().revision();
+// Gateways poll one control VM at a time, so each control VM notifies those
+// that poll it.
+void control_task::sendAllNotices() {
+  NoticesSentAt = steadySeconds();
+  SentRoutingVersion = Log->state().routing().version();
+  SentRolloutsRevision = Log->state().rollouts().revision();
+  SentQuarantineRevision = Log->state().quarantine().revision();
+  SentEvacuationsRevision = Log->state().evacuations().revision();
   for (const auto &[Peer, Gateway] : Gateways.gateways())
     sendNotice(Peer);
 }
--- a/control/gateway_table.cpp
+++ b/control/gateway_table.cpp
@@ -1,4 +1,4 @@
-//===- gateway_table.cpp - What gateways hold and have seen ---------------===//
+//===- gateway_table.cpp - State of the gateways --------------------------===//
 
 #include "control/gateway_table.h"
 #include "base/digest.h"
@@ -9,15 +9,16 @@
 
 namespace {
 
-// Gateways ask twice a second; one silent for so long has left or has gone to
-// another control VM.
-constexpr double SilentSeconds = 10;
-// With more gateways each tells its work to those of its own data hall only:
-// what a gateway sends and hears must not grow with their number.
-constexpr size_t MostInOneCircle = 64;
-// By then gateways have missed the last leader's answers, found the new one and
-// asked it.
-constexpr double AllAskedSeconds = 2;
+// Gateways poll twice a second. One that has not polled for this long has left
+// or polls another control VM.
+constexpr double GatewayTimeoutSeconds = 10;
+// Up to this many gateways, each sends its load updates to all others. With
+// more, it sends them only to those in its own data hall, so that what a
+// gateway sends and receives does not grow with their number.
+constexpr size_t MaxFullMeshGateways = 64;
+// Within this time after an election, gateways have noticed that the previous
+// leader does not answer, found the new one and polled it.
+constexpr double AllPolledSeconds = 2;
 
 } // namespace
 
@@ -26,11 +27,11 @@
   for (uint64_t Key : Watch.staying())
     Staying.push_back({Now, Key});
   if (!Gateways.contains(Peer))
-    forgetEarlierStart(Watch.node());
+    removeEarlierStart(Watch.node());
   gateway_record &Gateway = Gateways[Peer];
   Gateway = {.Node = Watch.node(),
              .DataHall = Watch.data_hall(),
-             .NewsAddress = Watch.news_address(),
+             .PeerUpdateAddress = Watch.news_address(),
              .Incarnation = Watch.incarnation(),
              .RoutingVersion = Watch.routing_version(),
              .RolloutsRevision = Watch.rollouts_revision(),
@@ -39,12 +40,12 @@
              .LastSeen = Now,
              .WatchSentAt = Watch.sent_at(),
              .UpstreamsRevision = Watch.upstreams_revision(),
-             .UpstreamsHadAt = Now - Watch.upstreams_age(),
-             .ToldListAt = Gateway.ToldListAt,
+             .UpstreamsFetchedAt = Now - Watch.upstreams_age(),
+             .FullListSentAt = Gateway.FullListSentAt,
              .GatewaysRevision = Watch.gateways_revision(),
-             .ToldStayingAt = Gateway.ToldStayingAt};
+             .StayingSentAt = Gateway.StayingSentAt};
   for (const wire::hall_requests &Hall : Watch.evacuated())
-    Gateway.OpenInHalls[Hall.data_hall()] = Hall.open();
+    Gateway.OpenRequestsByHall[Hall.data_hall()] = Hall.open();
   for (const wire::version_tally &Tally : Watch.tallies())
     Tallies[{Tally.service(), Tally.version()}][Watch.incarnation()] = {
         .Answers = Tally.answers(),
@@ -52,32 +53,33 @@
         .Seconds = Tally.seconds()};
 }
 
-// Counted beside its earlier start a gateway would be two, and the others would
-// think that they do not hear all of them.
-void gateway_table::forgetEarlierStart(const std::string &Node) {
+// Without this a restarted gateway would be counted twice, and the other
+// gateways would assume that they miss the updates of one of them.
+void gateway_table::removeEarlierStart(const std::string &Node) {
   std::erase_if(Gateways, [&](const auto &Each) {
     return !Node.empty() && Each.second.Node == Node;
   });
 }
 
 void gateway_table::beginLeadership(double Now) {
-  CountedFrom = Now + AllAskedSeconds;
+  CountValidFrom = Now + AllPolledSeconds;
 }
 
-// A number that grows with each question would grant the first who ask most of
-// what all share, and leave it with them if this VM is lost in the middle.
+// A count that grows with each new gateway would give the first ones to poll
+// too large a share of the common limits, and they would keep it if this VM
+// failed before all had polled.
 std::optional<uint32_t> gateway_table::count(double Now) const {
-  if (Now < CountedFrom)
+  if (Now < CountValidFrom)
     return std::nullopt;
   return uint32_t(Gateways.size());
 }
 
-void gateway_table::toldUpstreams(const std::string &Peer,
-                                  const wire::notice &Notice, double Now) {
+void gateway_table::recordListSent(const std::string &Peer,
+                                   const wire::notice &Notice, double Now) {
   gateway_record &Gateway = Gateways[Peer];
   Gateway.UpstreamsRevision = Notice.upstreams_revision();
   if (Notice.upstreams().whole())
-    Gateway.ToldListAt = Now;
+    Gateway.FullListSentAt = Now;
 }
 
 void gateway_table::fillStaying(const std::string &Peer, double Now,
@@ -85,34 +87,36 @@
   gateway_record &Gateway = Gateways[Peer];
   auto First = std::partition_point(
       Staying.begin(), Staying.end(), [&](const staying_session &Each) {
-        return Each.ToldAt <= Gateway.ToldStayingAt;
+        return Each.ReportedAt <= Gateway.StayingSentAt;
       });
   for (auto It = First; It != Staying.end(); ++It)
     Notice.add_staying(It->Key);
-  Gateway.ToldStayingAt = Now;
+  Gateway.StayingSentAt = Now;
 }
 
 void gateway_table::fillAddresses(const std::string &Peer,
                                   wire::notice &Notice) const {
-  const gateway_record &Asking = Gateways.at(Peer);
+  const gateway_record &Receiver = Gateways.at(Peer);
   std::set<std::string> Addresses;
   for (const auto &[Name, Each] : Gateways)
-    if (!Each.NewsAddress.empty() && (Gateways.size() <= MostInOneCircle ||
-                                      Each.DataHall == Asking.DataHall))
-      Addresses.insert(Each.NewsAddress);
+    if (!Each.PeerUpdateAddress.empty() &&
+        (Gateways.size() <= MaxFullMeshGateways ||
+         Each.DataHall == Receiver.DataHall))
+      Addresses.insert(Each.PeerUpdateAddress);
   uint64_t Revision = 1;
   for (const std::string &Address : Addresses)
     Revision = checksum(Address, Revision);
   Notice.set_gateways_revision(Revision);
-  if (Revision != Asking.GatewaysRevision)
+  if (Revision != Receiver.GatewaysRevision)
     Notice.mutable_news_addresses()->Assign(Addresses.begin(), Addresses.end());
 }
 
 void gateway_table::forgetSilent(double Now) {
-  while (!Staying.empty() && Staying.front().ToldAt + SilentSeconds < Now)
+  while (!Staying.empty() &&
+         Staying.front().ReportedAt + GatewayTimeoutSeconds < Now)
     Staying.pop_front();
   std::erase_if(Gateways, [&](const auto &Each) {
-    return Each.second.LastSeen + SilentSeconds < Now;
+    return Each.second.LastSeen + GatewayTimeoutSeconds < Now;
   });
 }
 
@@ -121,18 +125,18 @@
   return It == Gateways.end() ? nullptr : &It->second;
 }
 
-size_t gateway_table::behindEvacuations(uint64_t Revision) const {
+size_t gateway_table::countBehindEvacuations(uint64_t Revision) const {
   return size_t(
       std::count_if(Gateways.begin(), Gateways.end(), [=](const auto &Each) {
         return Each.second.EvacuationsRevision < Revision;
       }));
 }
 
-uint64_t gateway_table::openIn(const std::string &DataHall) const {
+uint64_t gateway_table::openRequestsIn(const std::string &DataHall) const {
   uint64_t Sum = 0;
   for (const auto &[Name, Gateway] : Gateways)
-    if (auto It = Gateway.OpenInHalls.find(DataHall);
-        It != Gateway.OpenInHalls.end())
+    if (auto It = Gateway.OpenRequestsByHall.find(DataHall);
+        It != Gateway.OpenRequestsByHall.end())
       Sum += It->second;
   return Sum;
 }
--- a/control/gateway_table.h
+++ b/control/gateway_table.h
@@ -1,8 +1,8 @@
-//===- gateway_table.h - What gateways hold and have seen -------*- C++ -*-===//
+//===- gateway_table.h - State of the gateways ------------------*- C++ -*-===//
 //
-// One control VM's view of the gateways that ask it: which routing version and
-// roll-outs each holds, and the answers it counted by software version. Pure:
-// times are passed in.
+// One control VM's record of the gateways that poll it: the versions of the
+// routing, roll-outs and other state that each holds, and the answers each has
+// counted by software version. Pure: times are passed in, in steady seconds.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,71 +20,90 @@
 
 namespace olivevalve {
 
+/// One gateway, as of its last watch message. Revisions are those that the
+/// gateway holds; 0: none yet.
 struct gateway_record {
   std::string Node;
   std::string DataHall;
-  std::string NewsAddress; ///< Where it hears of other gateways' work, or "".
-  uint64_t Incarnation = 0;
+  /// Where it receives the load updates of other gateways; empty: nowhere.
+  std::string PeerUpdateAddress;
+  uint64_t Incarnation = 0; ///< Differs for each start of the gateway.
   uint64_t RoutingVersion = 0;
   uint64_t RolloutsRevision = 0;
   uint64_t QuarantineRevision = 0;
   uint64_t EvacuationsRevision = 0;
-  /// Requests under way, by evacuated data hall.
-  std::map<std::string, uint32_t> OpenInHalls;
+  /// Requests in flight, by evacuated data hall.
+  std::map<std::string, uint32_t> OpenRequestsByHall;
   double LastSeen = 0;
-  double WatchSentAt = 0;         ///< Its last question, by its own clock.
-  uint64_t UpstreamsRevision = 0; ///< Of the list that it holds.
-  double UpstreamsHadAt = 0;      ///< When that list was true.
-  double ToldListAt = 0;          ///< A whole list was sent to it last.
-  uint64_t GatewaysRevision = 0;  ///< Of the addresses that it was told.
-  double ToldStayingAt = 0; ///< Staying sessions up to then were told to it.
+  double WatchSentAt = 0; ///< Of the last watch message, by its own clock.
+  /// Names the list of upstreams that it holds.
+  uint64_t UpstreamsRevision = 0;
+  /// When that list was current at the platform.
+  double UpstreamsFetchedAt = 0;
+  /// When the complete list of upstreams was last sent to it; 0: never.
+  double FullListSentAt = 0;
+  /// Names the set of gateways' addresses that it holds.
+  uint64_t GatewaysRevision = 0;
+  /// Staying sessions (those that a canary must not take over) that gateways
+  /// reported up to then have been sent to it.
+  double StayingSentAt = 0;
 };
 
 class gateway_table {
 public:
+  /// Records a watch message from \p Peer, with the tallies in it.
   void watched(const std::string &Peer, const wire::watch &Watch, double Now);
-  /// \p Peer was told the list, or its changes, of this revision; its next
-  /// question says whether it has come.
-  void toldUpstreams(const std::string &Peer, const wire::notice &Notice,
-                     double Now);
-  /// This control VM leads from now on: gateways turn to it one after the
-  /// other.
+  /// Records that the list of upstreams in \p Notice, or its changes, was sent
+  /// to \p Peer. Whether it arrived shows in the next watch message of \p Peer.
+  void recordListSent(const std::string &Peer, const wire::notice &Notice,
+                      double Now);
+  /// Records that this control VM is the leader from now on. Gateways switch to
+  /// a new leader one after the other, so their number is not valid at first.
   void beginLeadership(double Now);
-  /// How many gateways there are; nothing while some may not have asked yet.
+  /// Number of gateways; none while some may not have polled this VM yet.
   std::optional<uint32_t> count(double Now) const;
-  /// Drops gateways that have long said nothing; what they counted stays.
+  /// Removes gateways that have not polled for a long time, and staying
+  /// sessions reported long ago. Tallies are kept.
   void forgetSilent(double Now);
+  /// The gateway with link name \p Peer, or null.
   const gateway_record *find(const std::string &Peer) const;
-  /// Fills in the sessions that gateways told since \p Peer was told last.
+  /// Adds the staying sessions that gateways have reported since \p Peer was
+  /// last sent any.
   void fillStaying(const std::string &Peer, double Now, wire::notice &Notice);
-  /// Fills in where gateways hear, if \p Peer was told something else.
+  /// Adds the addresses at which gateways receive each other's load updates, if
+  /// \p Peer holds a different set. Always sets their revision.
   void fillAddresses(const std::string &Peer, wire::notice &Notice) const;
-  /// How many do not hold this revision of the evacuations.
-  size_t behindEvacuations(uint64_t Revision) const;
-  /// Requests that all have under way in an evacuated data hall.
-  uint64_t openIn(const std::string &DataHall) const;
+  /// Number of gateways that do not hold \p Revision of the evacuations yet.
+  size_t countBehindEvacuations(uint64_t Revision) const;
+  /// Requests in flight in an evacuated data hall, summed over all gateways.
+  uint64_t openRequestsIn(const std::string &DataHall) const;
+  /// All gateways, by the name of their link.
   const std::map<std::string, gateway_record> &gateways() const {
     return Gateways;
   }
-  /// Answers of one version of a service, summed over all gateways' starts.
+  /// Answers of one version of a service, summed over all gateways and all of
+  /// their starts.
   version_tally answersOf(std::string_view Service,
                           std::string_view Version) const;
-  /// The same of all other versions together.
+  /// The same, summed over all other versions of the service.
   version_tally answersOfOthers(std::string_view Service,
                                 std::string_view Version) const;
 
 private:
-  void forgetEarlierStart(const std::string &Node);
+  void removeEarlierStart(const std::string &Node);
 
   std::map<std::string, gateway_record> Gateways;
-  double CountedFrom = 0; ///< All have asked by then.
+  /// By then all gateways have polled this VM.
+  double CountValidFrom = 0;
   struct staying_session {
-    double ToldAt = 0;
+    double ReportedAt = 0;
     uint64_t Key = 0;
   };
-  std::deque<staying_session> Staying; ///< Oldest first.
+  /// Sessions that a canary must not take over; oldest first.
+  std::deque<staying_session> Staying;
   using version_key = std::pair<std::string, std::string>;
-  /// Each start of a gateway counts from zero and tells its sums.
+  /// By version and gateway start. Each start of a gateway counts from zero and
+  /// reports running totals.
   std::map<version_key, std::map<uint64_t, version_tally>> Tallies;
 };
 
--- a/control/operator_api.cpp
+++ b/control/operator_api.cpp
@@ -329,7 +329,7 @@
 // The halls that anything is known of, and those that are evacuated.
 void operator_api::halls(const exchange &Exchange) {
   std::map<std::string, hall_facts> Halls;
-  for (const auto &[Name, Count] : Control.Upstreams.byHall())
+  for (const auto &[Name, Count] : Control.Upstreams.countByHall())
     Halls[Name].Upstreams += Count;
   Control.Log->state().config().forEach<upstream_spec>(
       [&](const upstream_spec &Each) { ++Halls[Each.DataHall].Upstreams; });
--- a/control/placer.cpp
+++ b/control/placer.cpp
@@ -11,13 +11,14 @@
 
 namespace {
 
-// Longer than the bursts of a minute, shorter than the hours of a day.
-constexpr double DemandSeconds = 60;
+// Time constant: longer than bursts within a minute, shorter than the daily
+// cycle.
+constexpr double DemandSmoothingSeconds = 60;
 
 const node_record *sidecarOf(const node_table &Nodes,
                              const std::string &Upstream, double Now) {
   for (const auto &[Peer, Node] : Nodes.nodes())
-    if (Node.Role == "sidecar" && Node.News.upstream() == Upstream &&
+    if (Node.Role == "sidecar" && Node.SidecarReport.upstream() == Upstream &&
         Node.LeaseEnd > Now && !Node.Stopping)
       return &Node;
   return nullptr;
@@ -25,7 +26,7 @@
 
 } // namespace
 
-void placer::learnDemand(const node_table &Nodes, double Now) {
+void placer::updateDemand(const node_table &Nodes, double Now) {
   std::map<version_name, double> InFlight;
   for (const auto &[Peer, Node] : Nodes.nodes())
     if (Node.LeaseEnd > Now)
@@ -33,17 +34,20 @@
         InFlight[parseVersionName(Version)] += Count;
   for (const auto &[Version, Count] : InFlight)
     Demand.try_emplace(Version, 0);
-  // The first look is all there is to go by.
-  double Keep =
-      LearnedAt == 0 ? 0 : std::exp((LearnedAt - Now) / DemandSeconds);
+  // The first measurement is taken unsmoothed.
+  double Retained =
+      DemandUpdatedAt == 0
+          ? 0
+          : std::exp((DemandUpdatedAt - Now) / DemandSmoothingSeconds);
   for (auto &[Version, Smoothed] : Demand)
-    Smoothed = Keep * Smoothed + (1 - Keep) * InFlight[Version];
-  LearnedAt = Now;
+    Smoothed = Retained * Smoothed + (1 - Retained) * InFlight[Version];
+  DemandUpdatedAt = Now;
 }
 
-placement_question placer::question(const catalog &Config,
-                                    const node_table &Nodes, double Now) const {
-  placement_question Question{.LoadsAtOnce = LoadsAtOnce};
+placement_question placer::makeInput(const catalog &Config,
+                                     const node_table &Nodes,
+                                     double Now) const {
+  placement_question Input{.LoadsAtOnce = LoadsAtOnce};
   Config.forEach<upstream_spec>([&](const upstream_spec &Spec) {
     if (!Spec.managed())
       return;
@@ -56,37 +60,38 @@
                            .Assigned = {Assigned.begin(), Assigned.end()},
                            .Usable = Sidecar && !Spec.Leaving};
     if (Sidecar)
-      for (const std::string &Text : Sidecar->News.versions())
+      for (const std::string &Text : Sidecar->SidecarReport.versions())
         Replica.Loaded.insert(parseVersionName(Text));
-    Question.Replicas.push_back(std::move(Replica));
+    Input.Replicas.push_back(std::move(Replica));
   });
   Config.forEach<model_spec>([&](const model_spec &Model) {
     for (const auto &[Version, Spec] : Model.Versions) {
       version_name Name{Model.Name, Version};
       auto It = Demand.find(Name);
       if (takesNewWork(Spec.State))
-        Question.Versions.push_back(
-            {Name, It == Demand.end() ? 0 : It->second});
+        Input.Versions.push_back({Name, It == Demand.end() ? 0 : It->second});
     }
   });
-  return Question;
+  return Input;
 }
 
 std::optional<wire::change_set>
 placer::next(const catalog &Config, const node_table &Nodes, double Now) {
-  learnDemand(Nodes, Now);
-  placement_question Question = question(Config, Nodes, Now);
-  auto Step = nextPlacement(Question);
+  updateDemand(Nodes, Now);
+  placement_question Input = makeInput(Config, Nodes, Now);
+  auto Step = nextPlacement(Input);
   if (!Step)
     return std::nullopt;
-  const std::string &Name = Question.Replicas[Step->Replica].Name;
+  const std::string &Name = Input.Replicas[Step->Replica].Name;
   json Versions = json::array();
   for (const version_name &Version : Step->Assigned)
     Versions.push_back(Version.text());
-  auto Held = Config.objects().find({"placement", Name});
-  uint64_t Index = Held == Config.objects().end() ? 0 : Held->second.Index;
+  auto Present = Config.objects().find({"placement", Name});
+  uint64_t Index =
+      Present == Config.objects().end() ? 0 : Present->second.Index;
   wire::change_set Set;
-  // The index of the whole configuration: after a refusal it is another change.
+  // The id holds the index of the whole configuration, so that a new attempt
+  // after a rejected change counts as another change.
   Set.set_change_id(absl::StrCat("placement-", Name, "-", Config.index()));
   Set.set_author("placement");
   wire::config_change *Change = Set.add_changes();
@@ -95,7 +100,7 @@
   Change->set_check_index(true);
   Change->set_expected_index(Index);
   Change->set_document(json({{"versions", Versions}}).dump());
-  logLine(log_level::Info, "versions assigned",
+  logLine(log_level::Info, "assigning versions to an upstream",
           {{"upstream", Name}, {"versions", Versions.dump()}});
   return Set;
 }
--- a/control/placer.h
+++ b/control/placer.h
@@ -1,8 +1,8 @@
 //===- placer.h - Assigns versions to managed upstreams ---------*- C++ -*-===//
 //
-// Makes the question for policy/placement from configuration and renewals, and
-// a change of configuration from its answer. Holds nothing but smoothed demand,
-// which the next leader learns anew.
+// Builds the input of policy/placement from the configuration and the nodes'
+// renewals, and turns the result into a change of the configuration. Its only
+// state is the smoothed demand, which a new leader measures again.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,19 +20,20 @@
 public:
   explicit placer(size_t LoadsAtOnce) : LoadsAtOnce(LoadsAtOnce) {}
 
-  /// The change to commit now, if any; nothing else may change the placement
-  /// meanwhile, which the change itself checks.
+  /// The next change to commit, if any. The change names the index that it is
+  /// based on, so that it fails if the placement has been changed meanwhile.
   std::optional<wire::change_set> next(const catalog &Config,
                                        const node_table &Nodes, double Now);
 
 private:
-  void learnDemand(const node_table &Nodes, double Now);
-  placement_question question(const catalog &Config, const node_table &Nodes,
-                              double Now) const;
+  void updateDemand(const node_table &Nodes, double Now);
+  placement_question makeInput(const catalog &Config, const node_table &Nodes,
+                               double Now) const;
 
   size_t LoadsAtOnce;
-  std::map<version_name, double> Demand; ///< Requests in flight, smoothed.
-  double LearnedAt = 0;
+  /// Requests running and queued by version, smoothed.
+  std::map<version_name, double> Demand;
+  double DemandUpdatedAt = 0; ///< 0: no demand was measured yet.
 };
 
 } // namespace olivevalve
--- a/control/quarantine_keeper.cpp
+++ b/control/quarantine_keeper.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// By then a proposal is in the book or lost with a leader.
-constexpr double ProposalSeconds = 2;
+// By then a proposal is either applied or lost with its leader.
+constexpr double ProposalTimeoutSeconds = 2;
 
 wire::quarantine_change releaseOf(const short_digest &Request) {
   wire::quarantine_change Change;
@@ -18,49 +18,52 @@
 
 } // namespace
 
-void quarantine_keeper::heard(const wire::crash_news &News, double Now) {
-  for (const wire::request_name &Name : News.answered())
+void quarantine_keeper::heard(const wire::crash_news &Crashes, double Now) {
+  for (const wire::request_name &Name : Crashes.answered())
     Evidence.answered(digestOf(Name), Now);
-  for (const wire::crash_report &Report : News.crashes())
+  for (const wire::crash_report &Report : Crashes.crashes())
     Evidence.ended(
         {.Request = digestOf(Report.request()), .Upstream = Report.upstream()},
         Now);
 }
 
-// A request that is let go is judged anew, whoever let it go: gateways tell
-// what they saw before for some time more.
-void quarantine_keeper::follow(const quarantine_book &Book, double Now) {
-  std::erase_if(KnownSince, [&](const auto &Each) {
-    bool LetGo = !Book.contains(Each.first);
-    if (LetGo)
+// A released request starts without evidence against it, whoever released it.
+// Gateways keep sending their earlier crash reports for some time; recording an
+// answer makes those count for nothing.
+void quarantine_keeper::synchronize(const quarantine_book &Quarantined,
+                                    double Now) {
+  std::erase_if(FirstSeenAt, [&](const auto &Each) {
+    bool IsReleased = !Quarantined.contains(Each.first);
+    if (IsReleased)
       Evidence.answered(Each.first, Now);
-    return LetGo;
+    return IsReleased;
   });
-  for (const wire::quarantined_request &Each : Book.all())
-    KnownSince.try_emplace(digestOf(Each.request()), Now);
+  for (const wire::quarantined_request &Each : Quarantined.all())
+    FirstSeenAt.try_emplace(digestOf(Each.request()), Now);
 }
 
 bool quarantine_keeper::mayPropose(const short_digest &Request, double Now) {
   double &At = ProposedAt[Request];
-  if (At > 0 && Now < At + ProposalSeconds)
+  if (At > 0 && Now < At + ProposalTimeoutSeconds)
     return false;
   At = Now;
   return true;
 }
 
 std::vector<wire::quarantine_change>
-quarantine_keeper::changes(const quarantine_book &Book, double Now) {
-  follow(Book, Now);
+quarantine_keeper::changes(const quarantine_book &Quarantined, double Now) {
+  synchronize(Quarantined, Now);
   std::erase_if(ProposedAt, [&](const auto &Each) {
-    return Now >= Each.second + ProposalSeconds;
+    return Now >= Each.second + ProposalTimeoutSeconds;
   });
   std::vector<wire::quarantine_change> Changes;
-  for (const auto &[Request, Since] : KnownSince)
-    if ((Evidence.answeredLately(Request, Now) || Now >= Since + MostSeconds) &&
+  for (const auto &[Request, Since] : FirstSeenAt)
+    if ((Evidence.answeredLately(Request, Now) ||
+         Now >= Since + MaxQuarantineSeconds) &&
         mayPropose(Request, Now))
       Changes.push_back(releaseOf(Request));
   for (const short_digest &Request : Evidence.allConvicted(Now)) {
-    if (Book.contains(Request) || !mayPropose(Request, Now))
+    if (Quarantined.contains(Request) || !mayPropose(Request, Now))
       continue;
     wire::quarantined_request &Add = *Changes.emplace_back().mutable_add();
     fillName(Request, *Add.mutable_request());
@@ -72,9 +75,9 @@
 
 double quarantine_keeper::secondsLeft(const short_digest &Request,
                                       double Now) const {
-  auto It = KnownSince.find(Request);
-  double Since = It == KnownSince.end() ? Now : It->second;
-  return std::max(0.0, Since + MostSeconds - Now);
+  auto It = FirstSeenAt.find(Request);
+  double Since = It == FirstSeenAt.end() ? Now : It->second;
+  return std::max(0.0, Since + MaxQuarantineSeconds - Now);
 }
 
 } // namespace olivevalve
--- a/control/quarantine_keeper.h
+++ b/control/quarantine_keeper.h
@@ -1,8 +1,8 @@
 //===- quarantine_keeper.h - Decides which requests to quarantine -*- C++ -*-//
 //
-// Puts together what processes tell of requests that upstreams ended under, and
-// proposes what the replicated book should take in and let go. A VM that comes
-// to lead hears it all again. Pure: times are passed in.
+// Combines the crash reports of all processes and proposes which requests are
+// added to the replicated quarantine and which are released from it. A new
+// leader gets all reports again. Pure: times are passed in, in steady seconds.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,22 +18,26 @@
 
 class quarantine_keeper {
 public:
-  /// Requests are let go after so long: upstreams may have been mended.
-  static constexpr double MostSeconds = 3600;
-
-  void heard(const wire::crash_news &News, double Now);
-  /// Changes of \p Book that are due and were not proposed just now.
-  std::vector<wire::quarantine_change> changes(const quarantine_book &Book,
-                                               double Now);
-  /// Until a request is let go, by the time that this VM has known of it.
+  /// Requests are released after this time, as the fault in the upstreams may
+  /// have been fixed.
+  static constexpr double MaxQuarantineSeconds = 3600;
+
+  /// Records crashes, and requests that were answered completely.
+  void heard(const wire::crash_news &Crashes, double Now);
+  /// Changes of \p Quarantined that are due, except those proposed recently.
+  std::vector<wire::quarantine_change>
+  changes(const quarantine_book &Quarantined, double Now);
+  /// Seconds until a request is released, counted from when this VM first saw
+  /// it in quarantine.
   double secondsLeft(const short_digest &Request, double Now) const;
 
 private:
-  void follow(const quarantine_book &Book, double Now);
+  void synchronize(const quarantine_book &Quarantined, double Now);
   bool mayPropose(const short_digest &Request, double Now);
 
   crash_evidence Evidence{{.MostRequests = 1 << 14}};
-  std::map<short_digest, double> KnownSince; ///< Of those in the book.
+  /// When this VM first saw each request that is in quarantine.
+  std::map<short_digest, double> FirstSeenAt;
   std::map<short_digest, double> ProposedAt;
 };
 
--- a/control/rollout_driver.cpp
+++ b/control/rollout_driver.cpp
@@ -1,4 +1,4 @@
-//===- rollout_driver.cpp - Takes roll-outs of services onward ------------===//
+//===- rollout_driver.cpp - Advances roll-outs of services ----------------===//
 
 #include "control/rollout_driver.h"
 #include <algorithm>
@@ -7,9 +7,10 @@
 
 namespace {
 
-// An order older than this was given to another leader: what the new version
-// has answered so far counts for it.
-constexpr double FreshSeconds = 1;
+// An older order was given to a previous leader. The counts at the order are
+// then not available, so all answers of the new version so far count for the
+// roll-out.
+constexpr double MaxFreshOrderSeconds = 1;
 
 wire::rollout_stage stageAfter(rollout_verdict Verdict) {
   switch (Verdict) {
@@ -24,42 +25,45 @@
 
 } // namespace
 
-rollout_driver::run &rollout_driver::runOf(const wire::rollout &Rollout,
-                                           const gateway_table &Gateways,
-                                           double Now, double Wall) {
-  run &Run = Runs[Rollout.service()];
-  if (Run.BegunWall == Rollout.begun_wall())
-    return Run;
+rollout_driver::baseline &
+rollout_driver::baselineOf(const wire::rollout &Rollout,
+                           const gateway_table &Gateways, double Now,
+                           double Wall) {
+  baseline &Baseline = Baselines[Rollout.service()];
+  if (Baseline.BegunWall == Rollout.begun_wall())
+    return Baseline;
   const std::string &Service = Rollout.service();
   const std::string &Target = Rollout.target_version();
-  // A clock that was set meanwhile must not stretch the roll-out.
+  // Clamped, so that a wall clock that was set meanwhile cannot prolong the
+  // roll-out.
   double Elapsed =
       std::clamp(Wall - Rollout.begun_wall(), 0.0, Rollout.duration_seconds());
-  Run = {.BegunWall = Rollout.begun_wall(),
-         .BegunAt = Now - Elapsed,
-         .OldBefore = Gateways.answersOfOthers(Service, Target),
-         .NewBefore = Elapsed < FreshSeconds
-                          ? Gateways.answersOf(Service, Target)
-                          : version_tally()};
-  return Run;
+  Baseline = {.BegunWall = Rollout.begun_wall(),
+              .BegunAt = Now - Elapsed,
+              .OldAtStart = Gateways.answersOfOthers(Service, Target),
+              .NewAtStart = Elapsed < MaxFreshOrderSeconds
+                                ? Gateways.answersOf(Service, Target)
+                                : version_tally()};
+  return Baseline;
 }
 
 std::vector<wire::rollout_step>
-rollout_driver::steps(const rollout_book &Book, const gateway_table &Gateways,
-                      double Now, double Wall) {
+rollout_driver::steps(const rollout_book &Rollouts,
+                      const gateway_table &Gateways, double Now, double Wall) {
   std::vector<wire::rollout_step> Steps;
-  for (const auto &[Service, Rollout] : Book.all()) {
+  for (const auto &[Service, Rollout] : Rollouts.all()) {
     if (!isUnderWay(Rollout.stage()))
       continue;
     const std::string &Target = Rollout.target_version();
-    run &Run = runOf(Rollout, Gateways, Now, Wall);
+    baseline &Baseline = baselineOf(Rollout, Gateways, Now, Wall);
     bool Canary = Rollout.stage() == wire::CANARY;
     rollout_judgement Judgement = judgeRollout(
         {.Stand = Canary ? rollout_stand::Canary : rollout_stand::Shift,
-         .ElapsedSeconds = Now - Run.BegunAt,
+         .ElapsedSeconds = Now - Baseline.BegunAt,
          .DurationSeconds = Rollout.duration_seconds(),
-         .New = Gateways.answersOf(Service, Target) - Run.NewBefore,
-         .Old = Gateways.answersOfOthers(Service, Target) - Run.OldBefore});
+         .New = Gateways.answersOf(Service, Target) - Baseline.NewAtStart,
+         .Old =
+             Gateways.answersOfOthers(Service, Target) - Baseline.OldAtStart});
     if (Judgement.Verdict == rollout_verdict::Stay)
       continue;
     wire::rollout_step Step;
--- a/control/rollout_driver.h
+++ b/control/rollout_driver.h
@@ -1,8 +1,9 @@
-//===- rollout_driver.h - Takes roll-outs of services onward ----*- C++ -*-===//
+//===- rollout_driver.h - Advances roll-outs of services --------*- C++ -*-===//
 //
-// The leader's part in a roll-out: compares what gateways counted with the
-// counts at the order, asks the guard, and proposes the next step. What it
-// keeps is only the counts at the start; a new leader does without them.
+// The leader's part in a roll-out: compares the answers that gateways have
+// counted since the order, asks the service guard for a verdict and returns the
+// next step. It keeps only the counts at the start of each roll-out; a new
+// leader does without them.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,23 +20,24 @@
 
 class rollout_driver {
 public:
-  /// Steps that are due. \p Now is steady, \p Wall the clock that the orders
-  /// were stamped with.
-  std::vector<wire::rollout_step> steps(const rollout_book &Book,
+  /// The steps that are due. \p Now is the steady clock; \p Wall is the wall
+  /// clock, by which orders are timestamped.
+  std::vector<wire::rollout_step> steps(const rollout_book &Rollouts,
                                         const gateway_table &Gateways,
                                         double Now, double Wall);
 
 private:
-  struct run {
-    double BegunWall = 0; ///< Names the order.
-    double BegunAt = 0;   ///< Steady; never steps with the wall clock.
-    version_tally OldBefore;
-    version_tally NewBefore;
+  /// State at the order of a roll-out.
+  struct baseline {
+    double BegunWall = 0;     ///< Wall clock at the order, which identifies it.
+    double BegunAt = 0;       ///< The same moment by the steady clock.
+    version_tally OldAtStart; ///< Answers of all other versions until then.
+    version_tally NewAtStart; ///< Answers of the new version until then.
   };
-  run &runOf(const wire::rollout &Rollout, const gateway_table &Gateways,
-             double Now, double Wall);
+  baseline &baselineOf(const wire::rollout &Rollout,
+                       const gateway_table &Gateways, double Now, double Wall);
 
-  std::map<std::string, run> Runs; ///< By service.
+  std::map<std::string, baseline> Baselines; ///< By service.
 };
 
 } // namespace olivevalve
--- a/control/routing_news.cpp
+++ b/control/routing_news.cpp
@@ -1,4 +1,4 @@
-//===- routing_news.cpp - The routing, told in pieces by changes ----------===//
+//===- routing_news.cpp - Sends routing changes in pieces -----------------===//
 
 #include "control/routing_news.h"
 #include <algorithm>
@@ -7,43 +7,45 @@
 
 namespace {
 
-// A timely message may wait behind one piece on a gateway's link.
-constexpr size_t PieceBytes = 16 << 10;
-// Changes that are kept: at ten a second a gateway that was cut off for 25 s
-// still gets what changed and not the whole.
-constexpr size_t MostChanges = 256;
-// Names in all of them together, some 60 bytes each: 3 MB.
-constexpr size_t MostNames = 50000;
-// Kept for gateways that are asking for their pieces. The whole of 5,000 routes
-// is some 0.5 MB; gateways are at a few versions at a time.
-constexpr size_t MostTransfers = 16;
-constexpr size_t MostTransferBytes = 12 << 20;
-
-/// Fills pieces up to their size.
-class piece_cutter {
+// Bounds how long an urgent message may wait behind a piece on the link to a
+// gateway.
+constexpr size_t MaxPieceBytes = 16 << 10;
+// Changes kept. At ten changes a second, a gateway that was disconnected for
+// 25 s still gets only the changes rather than the complete routing.
+constexpr size_t MaxChanges = 256;
+// Bounds the names in all changes together: 3 MB at about 60 bytes each.
+constexpr size_t MaxNames = 50000;
+// Transfers cached for gateways that are requesting their pieces. The complete
+// routing with 5,000 routes takes about 0.5 MB, and at any time the gateways
+// hold only a few different versions.
+constexpr size_t MaxTransfers = 16;
+constexpr size_t MaxTransferBytes = 12 << 20;
+
+/// Distributes parts over pieces of bounded size.
+class piece_builder {
 public:
-  explicit piece_cutter(std::vector<wire::routing_piece> &Pieces)
+  explicit piece_builder(std::vector<wire::routing_piece> &Pieces)
       : Pieces(Pieces) {
     Pieces.emplace_back();
   }
 
   void add(const std::string &Name, const std::string &Part) {
-    wire::routing_entry *Entry = roomFor(Name.size() + Part.size());
+    wire::routing_entry *Entry = newEntry(Name.size() + Part.size());
     Entry->set_name(Name);
     Entry->set_part(Part);
   }
-  void addGone(const std::string &Name) {
-    startIfFull(Name.size());
+  void addRemoved(const std::string &Name) {
+    startPieceIfFull(Name.size());
     Pieces.back().add_gone(Name);
   }
 
 private:
-  wire::routing_entry *roomFor(size_t Size) {
-    startIfFull(Size);
+  wire::routing_entry *newEntry(size_t Size) {
+    startPieceIfFull(Size);
     return Pieces.back().add_entries();
   }
-  void startIfFull(size_t Size) {
-    if (Bytes > 0 && Bytes + Size > PieceBytes) {
+  void startPieceIfFull(size_t Size) {
+    if (Bytes > 0 && Bytes + Size > MaxPieceBytes) {
       Pieces.emplace_back();
       Bytes = 0;
     }
@@ -71,14 +73,14 @@
   for (const auto &[Name, Part] : Parts)
     if (!Next.contains(Name))
       Change.Names.insert(Name);
-  // The oldest version kept is the base of the changes after it: its own names
-  // are not needed.
+  // The oldest version is the base for the changes that follow it. What it
+  // changed itself is not needed.
   if (Version == 0)
     Change.Names.clear();
   Names += Change.Names.size();
   Changes.push_back(std::move(Change));
   while (Changes.size() > 1 &&
-         (Changes.size() > MostChanges || Names > MostNames)) {
+         (Changes.size() > MaxChanges || Names > MaxNames)) {
     Names -= Changes.front().Names.size();
     Changes.pop_front();
   }
@@ -87,72 +89,73 @@
   Digest = NextDigest;
 }
 
-// Also for a version between two that were seen here: what changed after the
-// one before it holds what changed after it, unless a part was changed and
-// changed back in between. Then the digest does not fit and the whole is asked
-// for.
-bool routing_news::knowsChangesSince(uint64_t Held) const {
-  return !Changes.empty() && Held >= Changes.front().Version;
+// A gateway may hold a version between two that this VM has seen. The changes
+// after the older of the two then include all that the gateway lacks. The
+// exception is a part that was changed and changed back in between: then the
+// digest does not match, and the gateway requests the complete routing.
+bool routing_news::hasChangesSince(uint64_t HeldVersion) const {
+  return !Changes.empty() && HeldVersion >= Changes.front().Version;
 }
 
-routing_news::transfer routing_news::makeTransfer(uint64_t Held) const {
-  transfer Made{.Held = Held, .Version = Version};
-  piece_cutter Cutter(Made.Pieces);
-  bool ByChanges = knowsChangesSince(Held);
+routing_news::transfer routing_news::makeTransfer(uint64_t HeldVersion) const {
+  transfer Result{.HeldVersion = HeldVersion, .Version = Version};
+  piece_builder Builder(Result.Pieces);
+  bool ByChanges = hasChangesSince(HeldVersion);
   if (!ByChanges) {
     for (const auto &[Name, Part] : Parts)
-      Cutter.add(Name, Part);
+      Builder.add(Name, Part);
   } else {
     std::set<std::string> Names;
     for (const change &Change : Changes)
-      if (Change.Version > Held)
+      if (Change.Version > HeldVersion)
         Names.insert(Change.Names.begin(), Change.Names.end());
     for (const std::string &Name : Names)
       if (auto It = Parts.find(Name); It != Parts.end())
-        Cutter.add(Name, It->second);
+        Builder.add(Name, It->second);
       else
-        Cutter.addGone(Name);
+        Builder.addRemoved(Name);
   }
-  for (size_t I = 0; I < Made.Pieces.size(); ++I) {
-    wire::routing_piece &Piece = Made.Pieces[I];
-    Piece.set_since(ByChanges ? Held : 0);
+  for (size_t I = 0; I < Result.Pieces.size(); ++I) {
+    wire::routing_piece &Piece = Result.Pieces[I];
+    Piece.set_since(ByChanges ? HeldVersion : 0);
     Piece.set_version(Version);
     Piece.set_piece(uint32_t(I));
-    Piece.set_pieces(uint32_t(Made.Pieces.size()));
+    Piece.set_pieces(uint32_t(Result.Pieces.size()));
     Piece.set_digest(Digest);
-    Made.Bytes += Piece.ByteSizeLong();
+    Result.Bytes += Piece.ByteSizeLong();
   }
-  return Made;
+  return Result;
 }
 
-// One that was begun is kept to its end, also when a newer version is there:
-// with ten changes a second a large one that starts anew would never end.
-routing_news::transfer &routing_news::transferFor(uint64_t Held,
+// A transfer that a gateway has begun is continued even if there is a newer
+// version. With ten changes a second, a large transfer that starts over with
+// each change would never complete.
+routing_news::transfer &routing_news::transferFor(uint64_t HeldVersion,
                                                   uint64_t Target) {
   auto Find = [&](uint64_t To) {
-    return std::find_if(Transfers.begin(), Transfers.end(),
-                        [&](const transfer &Each) {
-                          return Each.Held == Held && Each.Version == To;
-                        });
+    return std::find_if(
+        Transfers.begin(), Transfers.end(), [&](const transfer &Each) {
+          return Each.HeldVersion == HeldVersion && Each.Version == To;
+        });
   };
   auto It = Find(Target);
   if (It == Transfers.end())
     It = Find(Version);
   transfer Used;
   if (It == Transfers.end()) {
-    Used = makeTransfer(Held);
+    Used = makeTransfer(HeldVersion);
   } else {
     Used = std::move(*It);
     Transfers.erase(It);
   }
   Transfers.push_back(std::move(Used));
-  dropOld();
+  evictTransfers();
   return Transfers.back();
 }
 
-void routing_news::dropOld() {
+void routing_news::evictTransfers() {
   while (Transfers.size() > 1 &&
-         (Transfers.size() > MostTransfers || keptBytes() > MostTransferBytes))
+         (Transfers.size() > MaxTransfers || keptBytes() > MaxTransferBytes))
     Transfers.pop_front();
 }
 
@@ -164,13 +167,14 @@
 }
 
 std::optional<wire::routing_piece>
-routing_news::piece(const wire::routing_ask &Ask) {
-  if (Version == 0 || Ask.held_version() >= Version)
+routing_news::piece(const wire::routing_ask &Request) {
+  if (Version == 0 || Request.held_version() >= Version)
     return std::nullopt;
-  const transfer &Transfer = transferFor(Ask.held_version(), Ask.version());
-  bool Goes =
-      Transfer.Version == Ask.version() && Ask.piece() < Transfer.Pieces.size();
-  return Transfer.Pieces[Goes ? Ask.piece() : 0];
+  const transfer &Transfer =
+      transferFor(Request.held_version(), Request.version());
+  bool Continues = Transfer.Version == Request.version() &&
+                   Request.piece() < Transfer.Pieces.size();
+  return Transfer.Pieces[Continues ? Request.piece() : 0];
 }
 
 } // namespace olivevalve
--- a/control/routing_news.h
+++ b/control/routing_news.h
@@ -1,8 +1,8 @@
-//===- routing_news.h - The routing, told in pieces by changes --*- C++ -*-===//
+//===- routing_news.h - Sends routing changes in pieces ---------*- C++ -*-===//
 //
-// Keeps the routing in parts with the names of the parts that its last changes
-// touched, and cuts what a gateway lacks into small pieces that the gateway
-// asks for one by one. Pure. All that it keeps has a bound.
+// Holds the routing in encoded parts, with the names of the parts that each of
+// the latest changes touched. What a gateway lacks is cut into small pieces,
+// which the gateway requests one by one. Pure. All memory is bounded.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,43 +21,46 @@
 
 class routing_news {
 public:
-  /// A newer version is in force.
+  /// Replaces the routing. A version that is not newer is ignored.
   void take(const routing_config &Config);
-  /// 0: none yet.
+  /// Version of the current routing; 0: none yet.
   uint64_t version() const { return Version; }
-  /// The piece asked for; the first towards the newest version if the gateway
-  /// has fallen out of what is kept. None while no routing is known.
-  std::optional<wire::routing_piece> piece(const wire::routing_ask &Ask);
+  /// The requested piece. If the transfer that it belongs to is no longer
+  /// cached, the first piece of a transfer to the newest version instead. None
+  /// if there is no routing or the gateway already holds the newest version.
+  std::optional<wire::routing_piece> piece(const wire::routing_ask &Request);
 
-  /// Bytes of the pieces that are kept, for metrics.
+  /// Size in bytes of the pieces of all cached transfers.
   size_t keptBytes() const;
+  /// Number of versions for which the changed parts are kept.
   size_t keptChanges() const { return Changes.size(); }
 
 private:
-  /// What one version changed.
+  /// The parts that one version changed.
   struct change {
-    uint64_t Version = 0; ///< That it led to.
+    uint64_t Version = 0; ///< Of the routing after the change.
     std::set<std::string> Names;
   };
-  /// All pieces from one version to another, for every gateway that asks.
+  /// All pieces from one version to another, shared by all gateways.
   struct transfer {
-    uint64_t Held = 0; ///< The version of the gateways that ask for it.
-    uint64_t Version = 0;
+    uint64_t HeldVersion = 0; ///< Held by the gateways; 0: none.
+    uint64_t Version = 0;     ///< Of the routing after the last piece.
     size_t Bytes = 0;
     std::vector<wire::routing_piece> Pieces;
   };
 
-  transfer &transferFor(uint64_t Held, uint64_t Target);
-  transfer makeTransfer(uint64_t Held) const;
-  bool knowsChangesSince(uint64_t Held) const;
-  void dropOld();
+  transfer &transferFor(uint64_t HeldVersion, uint64_t Target);
+  transfer makeTransfer(uint64_t HeldVersion) const;
+  bool hasChangesSince(uint64_t HeldVersion) const;
+  void evictTransfers();
 
   uint64_t Version = 0;
   uint64_t Digest = 0;
   encoded_parts Parts;
-  std::deque<change> Changes;     ///< Oldest first; the first is the base.
-  size_t Names = 0;               ///< In all of them.
-  std::deque<transfer> Transfers; ///< The last used at the end.
+  /// Oldest first. The first is the base of the others and has no names.
+  std::deque<change> Changes;
+  size_t Names = 0;               ///< Number of names in all changes.
+  std::deque<transfer> Transfers; ///< Least recently used first.
 };
 
 } // namespace olivevalve
--- a/control/upstream_news.cpp
+++ b/control/upstream_news.cpp
@@ -1,4 +1,4 @@
-//===- upstream_news.cpp - The list of upstreams, for all gateways --------===//
+//===- upstream_news.cpp - The list of upstreams for gateways -------------===//
 
 #include "control/upstream_news.h"
 #include "base/clock.h"
@@ -10,22 +10,23 @@
 
 namespace {
 
-// Nothing new may go to a leaving upstream some 3 s after it is listed so; the
-// list itself lags by about one.
-constexpr double AskSeconds = 0.9;
-// A long list is asked for less often: settings of the platform name 40 calls a
-// second for all callers together, and this keeps to 33.
-constexpr double SecondsPerPage = 0.03;
-// In seconds: one busy answer must not end a list of many pages.
-constexpr double BusyPatience = 3;
-// Changes that are kept: at one a second more than a gateway misses before it
-// asks for itself.
-constexpr size_t MostChanges = 32;
+// An upstream may get no new requests from about 3 s after it is listed as
+// leaving, and the list itself lags by about 1 s.
+constexpr double MinPollSeconds = 0.9;
+// A list of many pages is polled less often. The platform's settings allow 40
+// calls a second for all clients together; this keeps control at 33.
+constexpr double PollSecondsPerPage = 0.03;
+// Pages that the platform is too busy to return are retried for this long, so
+// that one busy response does not fail a list of many pages.
+constexpr double MaxBusySeconds = 3;
+// Changes kept. At one change a second, these cover more time than a gateway
+// goes without updates before it fetches the list for itself.
+constexpr size_t MaxChanges = 32;
 
-// A whole list may be so long on its way to many gateways at once; until then
-// it is not sent again with each of their questions, which bounds what the
-// leader sends.
-constexpr double WholeSeconds = 2;
+// A complete list may take this long to arrive when many gateways get it at
+// once. Until then it is not sent again with each watch message of the
+// gateway, which bounds what the leader sends.
+constexpr double FullListTransitSeconds = 2;
 
 } // namespace
 
@@ -52,19 +53,19 @@
   Entries = std::move(Next);
   Revision = NextRevision;
   Changes.push_back(std::move(Change));
-  if (Changes.size() > MostChanges)
+  if (Changes.size() > MaxChanges)
     Changes.pop_front();
   return true;
 }
 
-std::map<std::string, size_t> upstream_history::byHall() const {
+std::map<std::string, size_t> upstream_history::countByHall() const {
   std::map<std::string, size_t> Counts;
   for (const auto &[Id, Entry] : Entries)
     ++Counts[Entry.DataHall];
   return Counts;
 }
 
-bool upstream_history::knows(uint64_t Held) const {
+bool upstream_history::contains(uint64_t Held) const {
   return std::any_of(Changes.begin(), Changes.end(), [&](const change &Change) {
     return Change.Revision == Held;
   });
@@ -72,12 +73,13 @@
 
 wire::upstream_list upstream_history::since(uint64_t Held) const {
   wire::upstream_list List;
-  // The last time, as a list may come back to what it was.
-  auto Last =
+  // The latest match: a list may return to an earlier state, and so to an
+  // earlier revision.
+  auto Base =
       std::find_if(Changes.rbegin(), Changes.rend(), [&](const change &Change) {
         return Change.Revision == Held;
       });
-  if (Last == Changes.rend()) {
+  if (Base == Changes.rend()) {
     List.set_whole(true);
     for (const auto &[Id, Entry] : Entries)
       platform::addTo(List, Entry);
@@ -85,7 +87,7 @@
   }
   List.set_since(Held);
   std::set<std::string> Ids;
-  for (auto It = Changes.rbegin(); It != Last; ++It)
+  for (auto It = Changes.rbegin(); It != Base; ++It)
     Ids.insert(It->Ids.begin(), It->Ids.end());
   for (const std::string &Id : Ids) {
     auto It = Entries.find(Id);
@@ -97,26 +99,28 @@
   return List;
 }
 
-upstream_news::upstream_news(struct ev_loop *Loop, const std::string &Address)
-    : Period(AskSeconds) {
+upstream_list_publisher::upstream_list_publisher(struct ev_loop *Loop,
+                                                 const std::string &Address)
+    : PollSeconds(MinPollSeconds) {
   if (!Address.empty())
     Client = std::make_unique<platform::list_client>(
         Loop, platform::list_client_options{.Address = Address,
-                                            .BusyPatience = BusyPatience});
+                                            .BusyPatience = MaxBusySeconds});
 }
 
-void upstream_news::tick(double Now, bool Leads) {
-  if (!Client || !Leads || Client->asking() || Now < AskedAt + Period)
+void upstream_list_publisher::tick(double Now, bool Leads) {
+  if (!Client || !Leads || Client->asking() || Now < RequestedAt + PollSeconds)
     return;
-  AskedAt = Now;
+  RequestedAt = Now;
   Client->ask([this](const auto &Listed) {
     if (!Listed)
       return;
-    HadAt = AskedAt;
-    Period = std::max(AskSeconds, SecondsPerPage * double(Client->pages()));
+    FetchedAt = RequestedAt;
+    PollSeconds =
+        std::max(MinPollSeconds, PollSecondsPerPage * double(Client->pages()));
     if (!History.take(*Listed))
       return;
-    logLine(log_level::Info, "list of upstreams changed",
+    logLine(log_level::Info, "list of upstreams has changed",
             {{"listed", int64_t(History.size())},
              {"revision", int64_t(History.revision())}});
     if (OnChange)
@@ -124,19 +128,19 @@
   });
 }
 
-void upstream_news::fill(const held_upstreams &Held, double Now,
-                         wire::notice &Notice) const {
+void upstream_list_publisher::fill(const held_upstream_list &Held, double Now,
+                                   wire::notice &Notice) const {
   if (History.revision() == 0)
     return;
   Notice.set_upstreams_revision(History.revision());
-  Notice.set_upstreams_age(Now - HadAt);
-  Notice.set_upstreams_period(Period);
-  // A gateway that asked the platform itself may hold a newer one.
-  bool HoldsNewer = Held.Revision != 0 && Held.HadAt > HadAt;
+  Notice.set_upstreams_age(Now - FetchedAt);
+  Notice.set_upstreams_period(PollSeconds);
+  // A gateway that fetched the list from the platform may hold a newer one.
+  bool HoldsNewer = Held.Revision != 0 && Held.FetchedAt > FetchedAt;
   if (History.revision() == Held.Revision || HoldsNewer)
     return;
-  bool UnderWay = Now < Held.ToldWholeAt + WholeSeconds;
-  if (UnderWay && !History.knows(Held.Revision))
+  bool InTransit = Now < Held.FullListSentAt + FullListTransitSeconds;
+  if (InTransit && !History.contains(Held.Revision))
     return;
   *Notice.mutable_upstreams() = History.since(Held.Revision);
 }
--- a/control/upstream_news.h
+++ b/control/upstream_news.h
@@ -1,8 +1,8 @@
-//===- upstream_news.h - The list of upstreams, for all gateways -*- C++ -*-==//
+//===- upstream_news.h - The list of upstreams for gateways -----*- C++ -*-===//
 //
-// The leader asks the platform for its list and tells it to the gateways, so
-// that the platform has one caller instead of as many as there are gateways.
-// After the first time a gateway is told only what has changed.
+// The leader polls the platform's list of upstreams and passes it on to the
+// gateways, so that the platform has one client rather than one per gateway.
+// A gateway gets the complete list once and only the changes afterwards.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,28 +20,29 @@
 
 namespace olivevalve {
 
-/// The list with its last changes. Pure. A revision names what is listed, so a
-/// control VM that comes to lead has nothing to tell to gateways that hold the
-/// same list from another.
+/// The current list and its latest changes. Pure. A revision is computed from
+/// the contents of the list, so a new leader sends nothing to gateways that
+/// already hold the same list from the previous one.
 class upstream_history {
 public:
-  /// Takes in a whole list; false if nothing has changed.
+  /// Replaces the list. Returns false if nothing has changed.
   bool take(const std::vector<platform::listed_upstream> &Listed);
-  /// 0: nothing was listed yet.
+  /// Names the current list; 0: no list was received yet.
   uint64_t revision() const { return Revision; }
   size_t size() const { return Entries.size(); }
-  /// How many are listed in each data hall.
-  std::map<std::string, size_t> byHall() const;
-  /// True if that revision was listed since the start, and not too long ago.
-  bool knows(uint64_t Held) const;
-  /// What a holder of \p Held needs to be up to date; all of it if that
-  /// revision is not known any more.
-  wire::upstream_list since(uint64_t Held) const;
+  /// Number of upstreams in each data hall.
+  std::map<std::string, size_t> countByHall() const;
+  /// True if \p HeldRevision is among the latest changes since the start.
+  /// Then the changes since can be sent; else it takes the complete list.
+  bool contains(uint64_t HeldRevision) const;
+  /// What a gateway that holds \p HeldRevision needs to be up to date: the
+  /// changes since, or the complete list if that revision is no longer kept.
+  wire::upstream_list since(uint64_t HeldRevision) const;
 
 private:
   struct change {
-    uint64_t Revision = 0; ///< That it led to.
-    std::set<std::string> Ids;
+    uint64_t Revision = 0;     ///< Of the list after the change.
+    std::set<std::string> Ids; ///< Upstreams added, changed or removed.
   };
 
   uint64_t Revision = 0;
@@ -49,35 +50,41 @@
   std::deque<change> Changes;                               ///< Oldest first.
 };
 
-/// What a gateway holds of the list, as it said last.
-struct held_upstreams {
+/// The list that a gateway holds, according to its last watch message. Times
+/// are steady seconds of this process.
+struct held_upstream_list {
   uint64_t Revision = 0;
-  double HadAt = 0;       ///< When that list was true; steady seconds here.
-  double ToldWholeAt = 0; ///< When the whole list was sent to it last.
+  double FetchedAt = 0;      ///< When that list was current at the platform.
+  double FullListSentAt = 0; ///< When the complete list was last sent to it.
 };
 
-class upstream_news {
+class upstream_list_publisher {
 public:
-  /// \p Address: of the platform's list; empty: gateways ask for themselves.
-  upstream_news(struct ev_loop *Loop, const std::string &Address);
+  /// \p Address of the platform's list, "IP:port"; empty: the list is not
+  /// polled, and each gateway fetches it for itself.
+  upstream_list_publisher(struct ev_loop *Loop, const std::string &Address);
 
-  std::function<void()> OnChange; ///< The list is not what it was.
+  std::function<void()> OnChange; ///< Called when the list has changed.
 
-  std::map<std::string, size_t> byHall() const { return History.byHall(); }
-  /// False: gateways have to ask for themselves.
-  bool asks() const { return bool(Client); }
-  /// Asks again when it is time; only while this VM \p Leads.
+  /// Number of upstreams in each data hall.
+  std::map<std::string, size_t> countByHall() const {
+    return History.countByHall();
+  }
+  /// False: gateways have to fetch the list for themselves.
+  bool fetchesList() const { return bool(Client); }
+  /// Fetches the list if it is time to and this VM is the leader (\p Leads).
   void tick(double Now, bool Leads);
-  /// Fills in the age of the list, and what has changed since the one that the
-  /// gateway holds.
-  void fill(const held_upstreams &Held, double Now, wire::notice &Notice) const;
+  /// Sets revision and age of the list, and adds the list or its changes if the
+  /// gateway holds another revision. Does nothing before the first list.
+  void fill(const held_upstream_list &Held, double Now,
+            wire::notice &Notice) const;
 
 private:
   std::unique_ptr<platform::list_client> Client;
   upstream_history History;
-  double AskedAt = 0;
-  double HadAt = 0; ///< When the question was asked that brought the list.
-  double Period;    ///< Seconds between two questions.
+  double RequestedAt = 0; ///< When the list was last requested.
+  double FetchedAt = 0;   ///< When the current list was requested.
+  double PollSeconds;     ///< Between two requests for the list.
 };
 
 } // namespace olivevalve
