--- a/control/control_task.cpp
+++ b/control/control_task.cpp
@@ -271,7 +271,8 @@
   Gateways.beginLeadership(steadySeconds());
   GuardPending.clear();
   PlacementPending = false;
-  logLine(log_level::Info, "this VM became the control leader", {{"term", int64_t(LedTerm)}});
+  logLine(log_level::Info, "this VM became the control leader",
+          {{"term", int64_t(LedTerm)}});
 }
 
 void control_task::tick() {
@@ -323,7 +324,8 @@
   logEvacuationsInForce();
   for (wire::rollout_step &Step :
        Rollouts.steps(Log->state().rollouts(), Gateways, Now, wallSeconds())) {
-    logLine(log_level::Warning, "moving the roll-out of a service to another stage",
+    logLine(log_level::Warning,
+            "moving the roll-out of a service to another stage",
             {{"service", Step.service()},
              {"version", Step.target_version()},
              {"from", wire::rollout_stage_Name(Step.from())},
@@ -373,13 +375,14 @@
 void control_task::stopScopes(const guard_report &Report) {
   if (isLastOfItsModel(Report.Name))
     return;
-  changeVersion(Report, "stopped for some templates or accounts", [&](json &Version) {
-    for (const guard_scope &Scope : Report.Stops) {
-      bool IsTemplate = Scope.Kind == guard_scope::scope_kind::Template;
-      Version["stopped_for"][IsTemplate ? "templates" : "accounts"].push_back(
-          Scope.Name);
-    }
-  });
+  changeVersion(
+      Report, "stopped for some templates or accounts", [&](json &Version) {
+        for (const guard_scope &Scope : Report.Stops) {
+          bool IsTemplate = Scope.Kind == guard_scope::scope_kind::Template;
+          Version["stopped_for"][IsTemplate ? "templates" : "accounts"]
+              .push_back(Scope.Name);
+        }
+      });
 }
 
 // Proposes the guard's change of one version. The change is rejected if the
--- a/control/control_task.h
+++ b/control/control_task.h
@@ -86,15 +86,15 @@
   void sendAllNotices();
   void receiveCrashReports(const wire::crash_news &Crashes, double Now);
   void proposeQuarantineChanges(double Now);
-  void fillQuarantine(uint64_t Held, wire::quarantine_news &Crashes) const;
+  void fillQuarantine(uint64_t HeldRevision,
+                      wire::quarantine_news &Update) const;
   void logEvacuationsInForce();
   void checkLeadership();
   void tick();
   void guardVersions(double Now);
   void driveRollouts(double Now);
   void proposePlacement(double Now);
-  void fillQuarantine(uint64_t HeldRevision,
-                      wire::quarantine_news &Update) const;
+  bool isLastOfItsModel(const version_name &Name) const;
   void setVersionState(const guard_report &Report, version_state State);
   void stopScopes(const guard_report &Report);
   void changeVersion(const guard_report &Report, std::string_view Change,
--- a/control/operator_api.cpp
+++ b/control/operator_api.cpp
@@ -31,13 +31,13 @@
   Exchange.reply(Answer.HttpStatus, Json, errorBody(Kind, Message), Headers);
 }
 
-struct hall_facts {
+struct hall_summary {
   size_t Upstreams = 0;
   size_t Processes = 0;
   bool Evacuated = false;
 };
 
-// Reads the body of POST /v1/changes.
+// Parses the body of POST /v1/changes. Error: BadRequest with all faults.
 absl::StatusOr<wire::change_set> readChangeSet(const std::string &Body) {
   auto Value = parseJson(Body, "request");
   if (!Value.ok())
@@ -124,12 +124,13 @@
     bool AnyVm = Route.Path == "/v1/status";
     if (!AnyVm && !Control.leads(steadySeconds()))
       return refuse(*Exchange, error_kind::NotLeader,
-                    "this control VM does not lead; the leader is " +
+                    "this control VM is not the leader; the leader is " +
                         std::to_string(Control.Log->core().leader()));
     return (this->*Route.Handler)(Exchange);
   }
   refuse(*Exchange, error_kind::NotFound,
-         Exchange->method() + " " + Exchange->path() + " is not known");
+         Exchange->method() + " " + Exchange->path() +
+             " is no operation of this interface");
 }
 
 void operator_api::changes(const exchange &Exchange) {
@@ -155,20 +156,21 @@
         waitInForce(Exchange, Result->ConfigIndex, Result->Repeated);
       });
   if (!Leads)
-    refuse(*Exchange, error_kind::NotLeader, "this control VM does not lead");
+    refuse(*Exchange, error_kind::NotLeader,
+           "this control VM is not the leader");
 }
 
 void operator_api::waitInForce(const exchange &Exchange, uint64_t Index,
                                bool Repeated) {
   std::weak_ptr<http_exchange> Weak = Exchange;
-  Control.noteLeadership();
+  Control.checkLeadership();
   double Now = steadySeconds();
   Control.Nodes.awaitInForce(
       Index, Now, [Weak, Index, Repeated](double Seconds) {
         auto Exchange = Weak.lock();
         if (!Exchange)
           return;
-        logLine(log_level::Info, "configuration in force",
+        logLine(log_level::Info, "configuration in force at all nodes with a lease",
                 {{"index", int64_t(Index)}, {"seconds", Seconds}});
         replyJson(*Exchange, 200,
                   {{"index", Index},
@@ -185,9 +187,9 @@
   json List = json::array();
   const catalog &Config = Control.Log->state().config();
   for (const auto &[Key, Object] : Config.objects()) {
-    bool Wanted = (Kind.empty() || Key.Kind == Kind) &&
-                  (Name.empty() || Key.Name == Name);
-    if (Wanted)
+    bool Matches = (Kind.empty() || Key.Kind == Kind) &&
+                   (Name.empty() || Key.Name == Name);
+    if (Matches)
       List.push_back(
           {{"kind", Key.Kind},
            {"name", Key.Name},
@@ -236,7 +238,7 @@
     json Item = {{"node", Node.Node},
                  {"role", Node.Role},
                  {"data_hall", Node.DataHall},
-                 {"config_index", Node.Acked},
+                 {"config_index", Node.HeldConfigIndex},
                  {"lease_seconds", std::max(0.0, Node.LeaseEnd - Now)},
                  {"seen_seconds_ago", Now - Node.LastSeen},
                  {"stopping", Node.Stopping}};
@@ -246,11 +248,11 @@
       Item["draining"] = Spec && Spec->Draining;
     }
     if (Node.Role == "sidecar") {
-      Item["running"] = Node.News.running();
-      Item["queued"] = Node.News.queued();
-      Item["slots"] = Node.News.slots();
-      Item["loaded"] = Node.News.versions();
-      Item["cache_in_use"] = Node.News.engine_load();
+      Item["running"] = Node.SidecarReport.running();
+      Item["queued"] = Node.SidecarReport.queued();
+      Item["slots"] = Node.SidecarReport.slots();
+      Item["loaded"] = Node.SidecarReport.versions();
+      Item["cache_in_use"] = Node.SidecarReport.engine_load();
     }
     List.push_back(std::move(Item));
   }
@@ -296,15 +298,16 @@
 
 void operator_api::removeMember(const exchange &Exchange) {
   auto Body = parseJson(Exchange->body(), "request");
-  bool Good = Body.ok() && Body->is_object() && Body->contains("id") &&
-              (*Body)["id"].is_number_unsigned();
-  if (!Good)
+  bool Valid = Body.ok() && Body->is_object() && Body->contains("id") &&
+               (*Body)["id"].is_number_unsigned();
+  if (!Valid)
     return refuse(*Exchange, error_kind::BadRequest,
-                  "id: must be the number of a control VM");
+                  "id: must be the id of a control VM");
   if (!Control.Log->removeMember((*Body)["id"].get<uint64_t>()))
-    return refuse(*Exchange, error_kind::Conflict,
-                  "not a member, the leader itself, or another change of "
-                  "members is under way; see 'olivevalvectl status'");
+    return refuse(
+        *Exchange, error_kind::Conflict,
+        "id: is not a member, is the leader, or another membership change "
+        "is in progress; see 'olivevalvectl status'");
   replyJson(*Exchange, 200, {{"removed", (*Body)["id"]}});
 }
 
@@ -326,9 +329,10 @@
   replyJson(*Exchange, 200, {{"quarantine", List}});
 }
 
-// The halls that anything is known of, and those that are evacuated.
+// Lists the data halls of all known upstreams, gateways and nodes, and those
+// that are evacuated.
 void operator_api::halls(const exchange &Exchange) {
-  std::map<std::string, hall_facts> Halls;
+  std::map<std::string, hall_summary> Halls;
   for (const auto &[Name, Count] : Control.Upstreams.countByHall())
     Halls[Name].Upstreams += Count;
   Control.Log->state().config().forEach<upstream_spec>(
@@ -337,21 +341,21 @@
     ++Halls[Gateway.DataHall].Processes;
   for (const auto &[Peer, Node] : Control.Nodes.nodes())
     ++Halls[Node.DataHall].Processes;
-  const evacuation_book &Book = Control.Log->state().evacuations();
-  for (const auto &[Name, Evacuation] : Book.all())
+  const evacuation_book &Evacuations = Control.Log->state().evacuations();
+  for (const auto &[Name, Evacuation] : Evacuations.all())
     Halls[Name].Evacuated = true;
   json List = json::array();
-  for (const auto &[Name, Facts] : Halls) {
+  for (const auto &[Name, Summary] : Halls) {
     json Item = {{"data_hall", Name},
-                 {"evacuated", Facts.Evacuated},
-                 {"upstreams", Facts.Upstreams},
-                 {"processes", Facts.Processes}};
-    if (Facts.Evacuated) {
-      double Since = Book.all().at(Name).since_wall();
+                 {"evacuated", Summary.Evacuated},
+                 {"upstreams", Summary.Upstreams},
+                 {"processes", Summary.Processes}};
+    if (Summary.Evacuated) {
+      double Since = Evacuations.all().at(Name).since_wall();
       Item["since_seconds"] = std::max(0.0, wallSeconds() - Since);
       Item["gateways_behind"] =
-          Control.Gateways.behindEvacuations(Book.revision());
-      Item["open_requests"] = Control.Gateways.openIn(Name);
+          Control.Gateways.countBehindEvacuations(Evacuations.revision());
+      Item["open_requests"] = Control.Gateways.openRequestsIn(Name);
     }
     List.push_back(std::move(Item));
   }
@@ -367,7 +371,7 @@
   if (!Request)
     return refuse(*Exchange, error_kind::BadRequest,
                   "request: must be 32 hexadecimal digits, as "
-                  "'olivevalvectl quarantine' shows them");
+                  "shown by 'olivevalvectl quarantine'");
   wire::command Command;
   fillName(*Request, *Command.mutable_quarantine()->mutable_release());
   std::weak_ptr<http_exchange> Weak = Exchange;
@@ -378,14 +382,15 @@
           return;
         if (!Result)
           return refuse(*Exchange, error_kind::NoQuorum,
-                        "leadership was lost; send it again");
+                        "leadership was lost; send the request again");
         if (!Result->Status.ok())
           return refuse(*Exchange, kindOf(Result->Status),
                         std::string(messageOf(Result->Status)));
         replyJson(*Exchange, 200, {{"released", true}});
       });
   if (!Leads)
-    refuse(*Exchange, error_kind::NotLeader, "this control VM does not lead");
+    refuse(*Exchange, error_kind::NotLeader,
+           "this control VM is not the leader");
 }
 
 } // namespace olivevalve
--- a/control/operator_api.h
+++ b/control/operator_api.h
@@ -1,7 +1,9 @@
 //===- operator_api.h - The operators' HTTP interface -----------*- C++ -*-===//
 //
-// Changes, objects, status, nodes, bills and a watch. Only the leader answers,
-// so that nobody reads an old state; others say who leads.
+// Serves configuration changes, objects, status, nodes, bills, versions,
+// control members, the quarantine and data halls; routing_api serves the rest.
+// Except for the status, only the leader answers, so that no operator sees an
+// outdated state. The other control VMs name the leader in their error.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,9 +21,12 @@
 class operator_api {
 public:
   operator_api(control_task &Control, struct ev_loop *Loop);
+  /// Starts to listen; false if \p Address cannot be bound.
   bool bind(const std::string &Address) { return Server.bind(Address); }
   std::string address() const { return Server.address(); }
+  /// Accepts no new connections.
   void drain() { Server.stopListening(); }
+  /// True if no request is in progress.
   bool idle() const { return Server.openExchanges() == 0; }
   routing_api &routing() { return Routing; }
 
@@ -39,6 +44,7 @@
   void quarantine(const exchange &Exchange);
   void release(const exchange &Exchange);
   void halls(const exchange &Exchange);
+  /// Replies once all nodes with a lease have applied \p Index.
   void waitInForce(const exchange &Exchange, uint64_t Index, bool Repeated);
 
   control_task &Control;
--- a/control/routing_api.cpp
+++ b/control/routing_api.cpp
@@ -1,4 +1,4 @@
-//===- routing_api.cpp - Operators' calls on what is routed where ---------===//
+//===- routing_api.cpp - Operators' routing interface ---------------------===//
 
 #include "control/routing_api.h"
 #include "base/clock.h"
@@ -17,8 +17,8 @@
 constexpr const char *RolloutsPath = "/v1/rollouts";
 constexpr std::string_view EvacuatePath = "/v1/halls/evacuate/";
 constexpr std::string_view RestorePath = "/v1/halls/restore/";
-constexpr size_t MostHallBytes = 256;
-// Orders of more than a day are a slip of the unit.
+constexpr size_t MaxHallNameBytes = 256;
+// A roll-out longer than a day is assumed to be a mistake in the unit.
 constexpr double MaxRolloutSeconds = 86400;
 
 void refuse(http_exchange &Exchange, error_kind Kind,
@@ -37,7 +37,7 @@
   }
 }
 
-absl::StatusOr<wire::rollout> readOrder(const std::string &Body) {
+absl::StatusOr<wire::rollout> parseOrder(const std::string &Body) {
   auto Value = parseJson(Body, "request");
   if (!Value.ok())
     return Value.status();
@@ -65,43 +65,50 @@
   const std::string &Path = Exchange->path();
   const std::string &Method = Exchange->method();
   std::string RolloutPrefix = std::string(RolloutsPath) + "/";
-  bool OfRouting = Path == RoutingPath;
-  bool OfRollouts = Path == RolloutsPath || Path.starts_with(RolloutPrefix);
-  bool Evacuates = Path.starts_with(EvacuatePath);
-  bool Restores = Path.starts_with(RestorePath);
-  if (!OfRouting && !OfRollouts && !Evacuates && !Restores)
+  bool IsRouting = Path == RoutingPath;
+  bool IsRollout = Path == RolloutsPath || Path.starts_with(RolloutPrefix);
+  bool IsEvacuation = Path.starts_with(EvacuatePath);
+  bool IsRestoration = Path.starts_with(RestorePath);
+  if (!IsRouting && !IsRollout && !IsEvacuation && !IsRestoration)
     return false;
   if (!Log.core().hasLeaderLease(steadySeconds()))
-    sendToLeader(Exchange);
-  else if (OfRouting && Method == "POST")
+    redirectToLeader(Exchange);
+  else if (IsRouting && Method == "POST")
     replaceRouting(Exchange);
-  else if (OfRouting && Method == "GET")
-    readRoutingBack(Exchange);
+  else if (IsRouting && Method == "GET")
+    getRouting(Exchange);
   else if (Path == RolloutsPath && Method == "POST")
     beginRollout(Exchange);
   else if (Path != RolloutsPath && Method == "GET")
-    readRollout(Exchange, Path.substr(RolloutPrefix.size()));
-  else if (Evacuates && Method == "POST")
-    moveHall(Exchange, std::string_view(Path).substr(EvacuatePath.size()),
-             false);
-  else if (Restores && Method == "POST")
-    moveHall(Exchange, std::string_view(Path).substr(RestorePath.size()), true);
+    getRollout(Exchange, Path.substr(RolloutPrefix.size()));
+  else if (IsEvacuation && Method == "POST")
+    setEvacuation(Exchange, std::string_view(Path).substr(EvacuatePath.size()),
+                  false);
+  else if (IsRestoration && Method == "POST")
+    setEvacuation(Exchange, std::string_view(Path).substr(RestorePath.size()),
+                  true);
   else
-    refuse(*Exchange, error_kind::NotFound, Method + " is not known here");
+    refuse(*Exchange, error_kind::NotFound,
+           Method + " is not supported for this path");
   return true;
 }
 
-// A leader that is not sure of its lead sends nobody to itself.
-void routing_api::sendToLeader(const exchange &Exchange) {
+// A leader without a leader lease does not redirect to itself.
+void routing_api::redirectToLeader(const exchange &Exchange) {
   const raft_core &Core = Log.core();
   for (const wire::member &Member : Core.members().members())
     if (Member.id() == Core.leader() && Member.id() != Core.id() &&
         !Member.operator_address().empty())
       return Exchange->reply(
-          307, Json, errorBody(error_kind::NotLeader, "ask the leader"),
+          307, Json,
+          errorBody(
+              error_kind::NotLeader,
+              "this control VM is not the leader; send the request to the "
+              "address in Location"),
           {{"Location",
             "http://" + Member.operator_address() + Exchange->path()}});
-  refuse(*Exchange, error_kind::NotLeader, "no leader is known now");
+  refuse(*Exchange, error_kind::NotLeader,
+         "no control VM is known to be the leader; retry");
 }
 
 void routing_api::propose(const exchange &Exchange, wire::command Command) {
@@ -112,7 +119,7 @@
         auto Exchange = Weak.lock();
         if (!Exchange)
           return;
-        logLine(log_level::Info, "operator's order answered",
+        logLine(log_level::Info, "operator's request answered",
                 {{"path", Exchange->path()},
                  {"seconds", steadySeconds() - Since},
                  {"outcome", !Result               ? "leadership lost"
@@ -120,20 +127,21 @@
                                                    : "refused"}});
         if (!Result)
           return refuse(*Exchange, error_kind::NoQuorum,
-                        "leadership was lost; send it again");
+                        "leadership was lost; send the request again");
         if (!Result->Status.ok())
           return refuse(*Exchange, kindOf(Result->Status),
                         messageOf(Result->Status));
         Exchange->reply(200, Json, "{}\n");
       });
   if (!Leads)
-    refuse(*Exchange, error_kind::NotLeader, "this control VM does not lead");
+    refuse(*Exchange, error_kind::NotLeader,
+           "this control VM is not the leader");
 }
 
 void routing_api::replaceRouting(const exchange &Exchange) {
   auto Config = readRouting(Exchange->body());
   if (!Config.ok()) {
-    logLine(log_level::Warning, "routing configuration refused",
+    logLine(log_level::Warning, "routing configuration rejected",
             {{"reason", messageOf(Config.status())}});
     return refuse(*Exchange, error_kind::BadRequest,
                   messageOf(Config.status()));
@@ -142,52 +150,55 @@
           {{"version", int64_t(Config->Version)},
            {"held", int64_t(Log.state().routing().version())}});
   wire::command Command;
-  *Command.mutable_routing() = changeTo(Config->Version, Exchange->body());
-  ReadDocument = Exchange->body();
-  LastRead = *std::move(Config);
+  *Command.mutable_routing() = makeChangeTo(Config->Version, Exchange->body());
+  ParsedDocument = Exchange->body();
+  ParsedConfig = *std::move(Config);
   propose(Exchange, std::move(Command));
 }
 
 std::optional<routing_config>
-routing_api::takeRead(const std::string &Document) {
-  if (!LastRead || ReadDocument != Document)
+routing_api::takeParsed(const std::string &Document) {
+  if (!ParsedConfig || ParsedDocument != Document)
     return std::nullopt;
-  ReadDocument.clear();
-  return std::exchange(LastRead, std::nullopt);
+  ParsedDocument.clear();
+  return std::exchange(ParsedConfig, std::nullopt);
 }
 
-// Told by what differs from the last one in the log, committed or not: entries
-// before it come first at every VM, or neither comes. A change of one route
-// costs what it changes then, in the log and to each other VM.
-wire::routing_change routing_api::changeTo(uint64_t Version,
-                                           const std::string &Document) {
+// Encodes the new document as a difference from the last one in the log, which
+// need not be committed yet: earlier entries are applied first at every VM, or
+// neither is. So a change of one route adds only that route to the log and to
+// the traffic between control VMs.
+wire::routing_change routing_api::makeChangeTo(uint64_t Version,
+                                               const std::string &Document) {
   const routing_book &Routing = Log.state().routing();
-  bool Ahead = Proposed.Term == Log.core().term() &&
-               Proposed.Version > Routing.version();
-  uint64_t BaseVersion = Ahead ? Proposed.Version : Routing.version();
+  bool HasNewerProposal = LastProposal.Term == Log.core().term() &&
+                          LastProposal.Version > Routing.version();
+  uint64_t BaseVersion =
+      HasNewerProposal ? LastProposal.Version : Routing.version();
   wire::routing_change Change;
   Change.set_version(Version);
-  // What is held already need not travel again.
+  // A version that is not newer will be ignored, so its document is left out.
   if (Version <= BaseVersion)
     return Change;
   Change =
-      makeChange(BaseVersion, Ahead ? Proposed.Document : Routing.document(),
+      makeChange(BaseVersion,
+                 HasNewerProposal ? LastProposal.Document : Routing.document(),
                  Version, Document);
-  Proposed = {
+  LastProposal = {
       .Term = Log.core().term(), .Version = Version, .Document = Document};
   return Change;
 }
 
-void routing_api::readRoutingBack(const exchange &Exchange) {
+void routing_api::getRouting(const exchange &Exchange) {
   const routing_book &Routing = Log.state().routing();
   if (Routing.version() == 0)
     return refuse(*Exchange, error_kind::NoQuorum,
-                  "no routing configuration is known yet");
+                  "no routing configuration has been set yet");
   Exchange->reply(200, Json, Routing.document());
 }
 
 void routing_api::beginRollout(const exchange &Exchange) {
-  auto Order = readOrder(Exchange->body());
+  auto Order = parseOrder(Exchange->body());
   if (!Order.ok())
     return refuse(*Exchange, error_kind::BadRequest, messageOf(Order.status()));
   wire::command Command;
@@ -195,20 +206,21 @@
   propose(Exchange, std::move(Command));
 }
 
-// Any name is taken: a hall of which nothing is left may be evacuated too, and
-// a leader that has just been elected has not heard of all halls yet.
-void routing_api::moveHall(const exchange &Exchange, std::string_view DataHall,
-                           bool Restore) {
-  if (DataHall.empty() || DataHall.size() > MostHallBytes ||
+// Accepts any name: a data hall without any upstream or process left may be
+// evacuated too, and a new leader does not have all data halls yet.
+void routing_api::setEvacuation(const exchange &Exchange,
+                                std::string_view DataHall, bool Restore) {
+  if (DataHall.empty() || DataHall.size() > MaxHallNameBytes ||
       !isPrintable(DataHall) || DataHall.find('/') != std::string_view::npos)
     return refuse(*Exchange, error_kind::BadRequest,
                   "data hall: must be printable ASCII of 1 to " +
-                      std::to_string(MostHallBytes) + " bytes, without '/'");
+                      std::to_string(MaxHallNameBytes) + " bytes, without '/'");
   if (!Exchange->body().empty())
     return refuse(*Exchange, error_kind::BadRequest,
-                  "body: must be empty; the path names the data hall");
+                  "body: must be empty; the data hall is given in the path");
   logLine(log_level::Info,
-          Restore ? "data hall to be restored" : "data hall to be evacuated",
+          Restore ? "proposing to restore a data hall"
+                  : "proposing to evacuate a data hall",
           {{"data_hall", DataHall},
            {"is_evacuated",
             int64_t(Log.state().evacuations().contains(DataHall))}});
@@ -218,12 +230,12 @@
   propose(Exchange, std::move(Command));
 }
 
-void routing_api::readRollout(const exchange &Exchange,
-                              const std::string &Service) {
+void routing_api::getRollout(const exchange &Exchange,
+                             const std::string &Service) {
   const wire::rollout *Rollout = Log.state().rollouts().find(Service);
   if (!Rollout)
     return refuse(*Exchange, error_kind::NotFound,
-                  "service '" + Service + "' has had no roll-out");
+                  "service '" + Service + "' has never had a roll-out");
   json Body = {{"state", stateName(Rollout->stage())},
                {"target_version", Rollout->target_version()},
                {"reason", Rollout->reason()}};
--- a/control/routing_api.h
+++ b/control/routing_api.h
@@ -1,8 +1,9 @@
-//===- routing_api.h - Operators' calls on what is routed where -*- C++ -*-===//
+//===- routing_api.h - Operators' routing interface -------------*- C++ -*-===//
 //
-// Whole routing configurations by highest version, roll-outs of services'
-// software, and evacuations of data halls. Only the leader answers; the others
-// send the caller there.
+// Serves operators' requests that set the routing configuration, begin and show
+// roll-outs of service versions, and evacuate and restore data halls. Of two
+// routing configurations the one with the higher version wins. Only the leader
+// handles these requests; other control VMs redirect the client to it.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,37 +24,40 @@
 public:
   explicit routing_api(replicated_log &Log) : Log(Log) {}
 
-  /// The configuration in \p Document if it was the last that an operator sent
-  /// here: a large one is not read twice.
-  std::optional<routing_config> takeRead(const std::string &Document);
-  /// Takes the exchange if its path is one of these calls.
+  /// Returns the parsed configuration if \p Document is the last one that an
+  /// operator sent to this VM, and forgets it. Saves parsing a large document
+  /// twice.
+  std::optional<routing_config> takeParsed(const std::string &Document);
+  /// Handles the exchange and returns true if its path belongs to this
+  /// interface.
   bool handle(const std::shared_ptr<http_exchange> &Exchange);
 
 private:
   using exchange = std::shared_ptr<http_exchange>;
-  void sendToLeader(const exchange &Exchange);
+  void redirectToLeader(const exchange &Exchange);
   void replaceRouting(const exchange &Exchange);
-  void readRoutingBack(const exchange &Exchange);
+  void getRouting(const exchange &Exchange);
   void beginRollout(const exchange &Exchange);
-  void readRollout(const exchange &Exchange, const std::string &Service);
-  void moveHall(const exchange &Exchange, std::string_view DataHall,
-                bool Restore);
+  void getRollout(const exchange &Exchange, const std::string &Service);
+  void setEvacuation(const exchange &Exchange, std::string_view DataHall,
+                     bool Restore);
   void propose(const exchange &Exchange, wire::command Command);
 
-  /// The newest document that this VM has put into the log as leader of a term:
-  /// what the next change is told by.
-  struct proposed {
+  /// The newest document that this VM has proposed as the leader of a term. The
+  /// next change is encoded as a difference from it.
+  struct proposal {
     uint64_t Term = 0;
     uint64_t Version = 0;
     std::string Document;
   };
 
-  wire::routing_change changeTo(uint64_t Version, const std::string &Document);
+  wire::routing_change makeChangeTo(uint64_t Version,
+                                    const std::string &Document);
 
   replicated_log &Log;
-  proposed Proposed;
-  std::string ReadDocument; ///< Of which LastRead is.
-  std::optional<routing_config> LastRead;
+  proposal LastProposal;
+  std::string ParsedDocument; ///< The document that ParsedConfig was read from.
+  std::optional<routing_config> ParsedConfig;
 };
 
 } // namespace olivevalve
--- a/control/upstream_news.h
+++ b/control/upstream_news.h
@@ -32,8 +32,8 @@
   size_t size() const { return Entries.size(); }
   /// Number of upstreams in each data hall.
   std::map<std::string, size_t> countByHall() const;
-  /// True if \p HeldRevision is among the latest changes since the start.
-  /// Then the changes since can be sent; else it takes the complete list.
+  /// True if the changes since \p HeldRevision are kept; otherwise a gateway
+  /// that holds it needs the complete list.
   bool contains(uint64_t HeldRevision) const;
   /// What a gateway that holds \p HeldRevision needs to be up to date: the
   /// changes since, or the complete list if that revision is no longer kept.
