--- a/lease/control_client.cpp
+++ b/lease/control_client.cpp
@@ -1,4 +1,4 @@
-//===- control_client.cpp - A node's tie to control -----------------------===//
+//===- control_client.cpp - A node's connection to control ----------------===//
 
 #include "lease/control_client.h"
 #include "base/clock.h"
@@ -9,16 +9,16 @@
 
 namespace {
 
-// Turns of the timer; a question is asked again, and another control VM tried,
-// only after the longer times below.
+// Interval of the timer that checks the longer times below, after which a
+// request is resent or another control VM is tried.
 constexpr double TickSeconds = 0.1;
-constexpr double AskAgainSeconds = 0.4;
-// Without a grant for this long the next control VM is tried; every VM has
-// been tried before the lease ends.
-constexpr double MoveSeconds = 1.2;
-constexpr double MoveAgainSeconds = 0.5;
+constexpr double ResendSeconds = 0.4;
+// The next control VM is tried after this time without a grant, and then one
+// after the other, so that each has been tried before the lease expires.
+constexpr double SwitchSeconds = 1.2;
+constexpr double SwitchAgainSeconds = 0.5;
 
-// The call number of an answer; 0 if it is none.
+// The call number in the answer to a request; 0 if the message is none.
 uint64_t callOf(const wire::envelope &Message) {
   if (Message.has_claim_result())
     return Message.claim_result().call();
@@ -51,9 +51,9 @@
         [this, I](const wire::envelope &Message) { receive(I, Message); }));
     Links.back()->connect(Options.Control[I].Address);
   }
-  // Nodes that start together do not all ask the same VM first.
-  Current = Links.empty() ? 0 : size_t(Options.Incarnation % Links.size());
-  LastMove = steadySeconds();
+  // Spreads nodes that start together over the control VMs.
+  LeaderIndex = Links.empty() ? 0 : size_t(Options.Incarnation % Links.size());
+  LastSwitch = steadySeconds();
   Timer.startRepeating(TickSeconds);
 }
 
@@ -68,16 +68,16 @@
   return 1.0 / std::max(1U, Entries);
 }
 
-void control_client::receive(size_t Place, const wire::envelope &Message) {
+void control_client::receive(size_t Index, const wire::envelope &Message) {
   if (Message.has_grant())
-    return takeGrant(Place, Message.grant());
+    return takeGrant(Index, Message.grant());
   if (Message.has_redirect())
-    return follow(Message.redirect().leader());
+    return switchToLeader(Message.redirect().leader());
   if (uint64_t Call = callOf(Message))
-    answer(Call, Message);
+    complete(Call, Message);
 }
 
-void control_client::takeGrant(size_t Place, const wire::grant &Grant) {
+void control_client::takeGrant(size_t Index, const wire::grant &Grant) {
   if (Leaving)
     return;
   double Now = steadySeconds();
@@ -85,7 +85,7 @@
   bool Renewal = Grant.lease_seconds() > 0;
   if (Renewal) {
     LastGrant = Now;
-    Current = Place;
+    LeaderIndex = Index;
     Entries = std::max(1U, Grant.entries());
     Shares.clear();
     for (const wire::account_share &Share : Grant.shares())
@@ -98,27 +98,28 @@
     return;
   if (OnConfig)
     OnConfig();
-  // The operator waits until control has heard that this node is up to date.
-  sendRenew(Place);
+  // Renew at once: an operator's change waits until control has received that
+  // this node has applied it.
+  sendRenew(Index);
 }
 
-void control_client::answer(uint64_t Call, const wire::envelope &Message) {
-  auto It = Questions.find(Call);
-  if (It == Questions.end())
+void control_client::complete(uint64_t Call, const wire::envelope &Message) {
+  auto It = PendingRequests.find(Call);
+  if (It == PendingRequests.end())
     return;
   answer_handler Handler = std::move(It->second.Handler);
-  Questions.erase(It);
+  PendingRequests.erase(It);
   Handler(&Message);
 }
 
-void control_client::follow(uint64_t Leader) {
+void control_client::switchToLeader(uint64_t Leader) {
   for (size_t I = 0; I < Options.Control.size(); ++I)
-    if (Options.Control[I].Id == Leader && I != Current) {
-      Current = I;
-      LastMove = steadySeconds();
-      sendRenew(Current);
-      for (auto &[Call, Question] : Questions)
-        askAgain(Question, steadySeconds());
+    if (Options.Control[I].Id == Leader && I != LeaderIndex) {
+      LeaderIndex = I;
+      LastSwitch = steadySeconds();
+      sendRenew(LeaderIndex);
+      for (auto &[Call, Request] : PendingRequests)
+        resend(Request, steadySeconds());
     }
 }
 
@@ -127,20 +128,20 @@
   uint64_t Call = NextCall++;
   setCall(Message, Call);
   double Now = steadySeconds();
-  question &Question = Questions[Call];
-  Question.Message = std::move(Message);
-  Question.Deadline = Now + Seconds;
-  Question.Handler = std::move(Handler);
-  askAgain(Question, Now);
+  pending_request &Request = PendingRequests[Call];
+  Request.Message = std::move(Message);
+  Request.Deadline = Now + Seconds;
+  Request.Handler = std::move(Handler);
+  resend(Request, Now);
 }
 
-void control_client::askAgain(question &Question, double Now) {
-  Question.AskedAt = Now;
+void control_client::resend(pending_request &Request, double Now) {
+  Request.SentAt = Now;
   if (!Links.empty())
-    Links[Current]->send(Question.Message);
+    Links[LeaderIndex]->send(Request.Message);
 }
 
-void control_client::renewNow() { sendRenew(Current); }
+void control_client::renewNow() { sendRenew(LeaderIndex); }
 
 void control_client::leave() {
   Leaving = true;
@@ -148,7 +149,7 @@
     sendRenew(I);
 }
 
-void control_client::sendRenew(size_t Place) {
+void control_client::sendRenew(size_t Index) {
   if (Links.empty())
     return;
   wire::envelope Message;
@@ -164,30 +165,30 @@
   if (OnRenew)
     OnRenew(*Renew);
   LastRenew = steadySeconds();
-  Links[Place]->send(Message);
+  Links[Index]->send(Message);
 }
 
 void control_client::tick() {
   double Now = steadySeconds();
   bool Silent =
-      Now - LastGrant > MoveSeconds && Now - LastMove > MoveAgainSeconds;
+      Now - LastGrant > SwitchSeconds && Now - LastSwitch > SwitchAgainSeconds;
   if (Silent && !Links.empty()) {
-    Current = (Current + 1) % Links.size();
-    LastMove = Now;
+    LeaderIndex = (LeaderIndex + 1) % Links.size();
+    LastSwitch = Now;
     LastRenew = 0;
   }
   if (!Leaving && Now - LastRenew >= RenewSeconds - TickSeconds / 2)
-    sendRenew(Current);
-  std::vector<uint64_t> Over;
-  for (auto &[Call, Question] : Questions) {
-    if (Now >= Question.Deadline)
-      Over.push_back(Call);
-    else if (Now - Question.AskedAt > AskAgainSeconds)
-      askAgain(Question, Now);
+    sendRenew(LeaderIndex);
+  std::vector<uint64_t> Expired;
+  for (auto &[Call, Request] : PendingRequests) {
+    if (Now >= Request.Deadline)
+      Expired.push_back(Call);
+    else if (Now - Request.SentAt > ResendSeconds)
+      resend(Request, Now);
   }
-  for (uint64_t Call : Over) {
-    answer_handler Handler = std::move(Questions[Call].Handler);
-    Questions.erase(Call);
+  for (uint64_t Call : Expired) {
+    answer_handler Handler = std::move(PendingRequests[Call].Handler);
+    PendingRequests.erase(Call);
     Handler(nullptr);
   }
 }
--- a/lease/control_watch.cpp
+++ b/lease/control_watch.cpp
@@ -1,4 +1,4 @@
-//===- control_watch.cpp - A gateway's tie to control ---------------------===//
+//===- control_watch.cpp - A gateway's connection to control --------------===//
 
 #include "lease/control_watch.h"
 #include "base/clock.h"
@@ -9,42 +9,45 @@
 
 namespace {
 
-// A change is to be in force within 2 s. The leader tells it at once; when that
-// message is lost, the next question brings it.
-constexpr double AskSeconds = 0.4;
-// A round trip between data halls takes a few milliseconds, a busy control VM
-// some tens.
-constexpr double PatienceSeconds = 0.45;
+// A change has to be in force within 2 s. The leader sends a notice at once; if
+// that is lost, the next poll brings the change.
+constexpr double PollSeconds = 0.4;
+// A round trip between data halls takes a few milliseconds, and a busy control
+// VM takes some tens of milliseconds to answer.
+constexpr double AnswerTimeoutSeconds = 0.45;
 constexpr double TickSeconds = 0.2;
-constexpr double LostSeconds = 3;
-// Two questions unanswered, and a third.
-constexpr double LeaderLostSeconds = 1.5;
-// The first routing comes from the leader alone for so long: a new leader is
-// there within 3 s after all control VMs were lost at once.
-constexpr double FirstRoutingSeconds = 5;
+constexpr double LogSilenceSeconds = 3;
+// Long enough for two polls to go unanswered before the third.
+constexpr double LeaderTimeoutSeconds = 1.5;
+// For this time after the start only the leader's routing is accepted: after a
+// loss of all control VMs there is a new leader within 3 s.
+constexpr double FirstRoutingFromLeaderSeconds = 5;
 
 } // namespace
 
 control_watch::control_watch(link_context &Context, struct ev_loop *Loop,
                              control_watch_options NewOptions)
     : Context(Context), Loop(Loop), Options(std::move(NewOptions)),
-      StartedAt(steadySeconds()), LastHeard(StartedAt),
+      StartedAt(steadySeconds()), LastReceivedAt(StartedAt),
       Routing(Options.Incarnation), Timer(Loop, [this] { tick(); }) {
-  moveOn();
+  switchToNext();
   Timer.startRepeating(TickSeconds);
 }
 
 bool control_watch::listComes() const {
-  return TellsList && steadySeconds() < LeaderSaidAt + LeaderLostSeconds;
+  return LeaderSendsList &&
+         steadySeconds() < LeaderSentAt + LeaderTimeoutSeconds;
 }
 
-double control_watch::silence() const { return steadySeconds() - LastHeard; }
+double control_watch::silence() const {
+  return steadySeconds() - LastReceivedAt;
+}
 
 void control_watch::setSeeds(std::vector<std::string> Seeds) {
   Options.Seeds = std::move(Seeds);
 }
 
-std::vector<std::string> control_watch::known() const {
+std::vector<std::string> control_watch::knownAddresses() const {
   std::vector<std::string> All = Members;
   for (const std::string &Seed : Options.Seeds)
     if (std::find(All.begin(), All.end(), Seed) == All.end())
@@ -59,7 +62,7 @@
         Context, Loop, "gateway/" + hexOf(Options.Incarnation),
         [this, Address](const wire::envelope &Message) {
           if (Message.body_case() == wire::envelope::kNotice)
-            receive(Address, Message.notice());
+            receiveNotice(Address, Message.notice());
           else if (Message.body_case() == wire::envelope::kRoutingPiece)
             receivePiece(Address, Message.routing_piece());
         });
@@ -68,27 +71,28 @@
   return *Link;
 }
 
-// The next one in the list, so that all are tried in turn.
-void control_watch::moveOn() {
-  std::vector<std::string> All = known();
+// Switches to the next control VM in the list, so that all are tried in turn.
+void control_watch::switchToNext() {
+  std::vector<std::string> All = knownAddresses();
   if (All.empty())
     return;
   auto It = std::find(All.begin(), All.end(), Current);
-  size_t Place = It == All.end() ? Options.Incarnation % All.size()
+  size_t Index = It == All.end() ? Options.Incarnation % All.size()
                                  : size_t(It - All.begin() + 1) % All.size();
   if (!Current.empty())
-    logLine(log_level::Info, "control VM is silent, asking another",
+    logLine(log_level::Info, "control VM does not answer, switching to another",
             {{"silent", Current},
-             {"next", All[Place]},
+             {"next", All[Index]},
              {"routing", int64_t(routingVersion())},
              {"seconds", silence()}});
-  Current = All[Place];
-  // Links to VMs that have left are dropped here, outside their callbacks.
+  Current = All[Index];
+  // Links to VMs that are no longer listed are dropped here, as that is not
+  // allowed within their own callbacks.
   std::erase_if(Links, [&](const auto &Link) {
     return std::find(All.begin(), All.end(), Link.first) == All.end();
   });
-  HeardAt = 0;
-  AskedAt = 0;
+  AnsweredAt = 0;
+  PolledAt = 0;
   Leaderless = false;
   linkTo(Current);
 }
@@ -96,41 +100,42 @@
 void control_watch::tick() {
   double Now = steadySeconds();
   if (routingVersion() == 0)
-    askAll();
-  bool Silent = AskedAt > 0 && HeardAt < AskedAt;
-  if (Leaderless || (Silent && Now > AskedAt + PatienceSeconds))
-    moveOn();
-  if (Now >= AskedAt + AskSeconds - TickSeconds / 2)
-    ask();
-  askForRouting();
-  if (!Lost && silence() > LostSeconds) {
-    Lost = true;
-    logLine(log_level::Warning, "control is silent, serving on",
+    pollAll();
+  bool Silent = PolledAt > 0 && AnsweredAt < PolledAt;
+  if (Leaderless || (Silent && Now > PolledAt + AnswerTimeoutSeconds))
+    switchToNext();
+  if (Now >= PolledAt + PollSeconds - TickSeconds / 2)
+    poll();
+  requestRouting();
+  if (!LoggedSilence && silence() > LogSilenceSeconds) {
+    LoggedSilence = true;
+    logLine(log_level::Warning,
+            "no control VM answers, serving with the last known state",
             {{"routing", int64_t(routingVersion())}, {"seconds", silence()}});
   }
 }
 
-// Nothing can be served before the first routing, and nobody knows yet who
-// leads.
-void control_watch::askAll() {
-  std::string Asked = Current;
-  for (const std::string &Each : known())
-    if (Each != Asked) {
+// Polls all other control VMs too. Used before the first routing, when nothing
+// can be served and the leader has not been found yet.
+void control_watch::pollAll() {
+  std::string Polled = Current;
+  for (const std::string &Each : knownAddresses())
+    if (Each != Polled) {
       Current = Each;
-      send();
+      sendWatch();
     }
-  Current = Asked;
+  Current = Polled;
 }
 
-void control_watch::ask() {
+void control_watch::poll() {
   double Now = steadySeconds();
-  // A question that is still open keeps its time, so that silence shows.
-  if (AskedAt == 0 || HeardAt >= AskedAt)
-    AskedAt = Now;
-  send();
+  // An unanswered poll keeps its time, so that a silent control VM is noticed.
+  if (PolledAt == 0 || AnsweredAt >= PolledAt)
+    PolledAt = Now;
+  sendWatch();
 }
 
-void control_watch::send() {
+void control_watch::sendWatch() {
   if (Current.empty())
     return;
   wire::envelope Message;
@@ -148,28 +153,29 @@
   linkTo(Current).send(Message);
 }
 
-void control_watch::hearUpstreams(const wire::notice &Notice) {
+void control_watch::receiveUpstreams(const wire::notice &Notice) {
   if (Notice.upstreams_revision() == 0 || !OnUpstreams)
     return;
-  // The time under way counts: this was sent so long after a question of ours,
-  // by our own clock. A list that waited on a full link is as old as that.
+  // The time in transit is included: the notice was sent that long after one of
+  // this gateway's watch messages, by this gateway's own clock. So a list that
+  // was delayed on a congested link counts as old.
   double SentAt = Notice.watch_sent_at() + Notice.watch_held();
   double Age = steadySeconds() - SentAt + Notice.upstreams_age();
   OnUpstreams(Age, Notice);
 }
 
-void control_watch::askForRouting() {
-  auto Question = Routing.question(steadySeconds());
-  if (!Question)
+void control_watch::requestRouting() {
+  auto Request = Routing.question(steadySeconds());
+  if (!Request)
     return;
   wire::envelope Message;
-  *Message.mutable_routing_ask() = std::move(Question->Ask);
-  linkTo(Question->To).send(Message);
+  *Message.mutable_routing_ask() = std::move(Request->Ask);
+  linkTo(Request->To).send(Message);
 }
 
 void control_watch::receivePiece(const std::string &From,
                                  const wire::routing_piece &Piece) {
-  LastHeard = steadySeconds();
+  LastReceivedAt = steadySeconds();
   switch (Routing.take(From, Piece)) {
   case piece_result::Odd:
     return;
@@ -186,46 +192,47 @@
     OnRouting(Routing.copy().table());
     break;
   case piece_result::Damaged:
-    logLine(log_level::Error, "pieces of a routing are damaged, asking for all",
+    logLine(log_level::Error,
+            "received routing is damaged, requesting the complete routing",
             {{"version", int64_t(Piece.version())},
              {"since", int64_t(Piece.since())},
              {"from", From}});
     break;
   }
-  askForRouting();
+  requestRouting();
 }
 
-void control_watch::receive(const std::string &From,
-                            const wire::notice &Notice) {
+void control_watch::receiveNotice(const std::string &From,
+                                  const wire::notice &Notice) {
   double Now = steadySeconds();
-  LastHeard = Now;
-  if (Lost)
-    logLine(log_level::Info, "control is heard again", {{"from", From}});
-  Lost = false;
+  LastReceivedAt = Now;
+  if (LoggedSilence)
+    logLine(log_level::Info, "control answers again", {{"from", From}});
+  LoggedSilence = false;
   if (From == Current)
-    HeardAt = Now;
+    AnsweredAt = Now;
   std::string Leader;
-  std::vector<std::string> Told;
+  std::vector<std::string> Addresses;
   for (const wire::control_vm &Member : Notice.control_vms()) {
-    Told.push_back(Member.address());
+    Addresses.push_back(Member.address());
     if (Member.id() == Notice.leader())
       Leader = Member.address();
   }
-  if (!Told.empty())
-    Members = std::move(Told);
+  if (!Addresses.empty())
+    Members = std::move(Addresses);
   double SentAt = Notice.watch_sent_at() + Notice.watch_held();
-  if (From == Leader && SentAt >= LeaderSaidAt) {
-    LeaderSaidAt = SentAt;
-    LeaderVersion = Notice.routing_version();
-    TellsList = Notice.tells_upstreams();
+  if (From == Leader && SentAt >= LeaderSentAt) {
+    LeaderSentAt = SentAt;
+    LeaderRoutingVersion = Notice.routing_version();
+    LeaderSendsList = Notice.tells_upstreams();
   }
-  // A VM that has just started may not have caught up: what it tells first
-  // could be long out of date.
+  // A control VM that has just started may not have caught up yet, so its first
+  // notices can be far out of date.
   bool Trusted = routingVersion() > 0 || From == Leader ||
-                 Now > StartedAt + FirstRoutingSeconds;
+                 Now > StartedAt + FirstRoutingFromLeaderSeconds;
   if (Trusted)
     Routing.offered(From, Notice.routing_version());
-  askForRouting();
+  requestRouting();
   if (Notice.rollouts_revision() > RolloutsRevision) {
     RolloutsRevision = Notice.rollouts_revision();
     OnRollouts(Notice);
@@ -246,15 +253,15 @@
     OnNewsAddresses(
         {Notice.news_addresses().begin(), Notice.news_addresses().end()});
   }
-  hearUpstreams(Notice);
+  receiveUpstreams(Notice);
   if (From != Current)
     return;
   if (!Leader.empty() && Leader != Current) {
     Current = Leader;
-    HeardAt = AskedAt = 0;
-    ask();
+    AnsweredAt = PolledAt = 0;
+    poll();
   } else if (Leader.empty()) {
-    // This one does not know who leads; another may.
+    // Another control VM may know the leader; tick() switches to it.
     Leaderless = true;
   }
 }
--- a/lease/control_watch.h
+++ b/lease/control_watch.h
@@ -1,9 +1,10 @@
-//===- control_watch.h - A gateway's tie to control -------------*- C++ -*-===//
+//===- control_watch.h - A gateway's connection to control ------*- C++ -*-===//
 //
-// Keeps routing and roll-outs of a gateway up to date without a lease: a
-// gateway that is cut off serves on with what it holds. Asks one control VM at
-// a time, the leader if it is known, and goes on to another when that one is
-// silent. Members are found through seeds.
+// Keeps the routing, roll-outs and other replicated state of a gateway up to
+// date. No lease is involved: a gateway without a connection to control keeps
+// serving with what it holds. It polls one control VM at a time, the leader if
+// there is one, and switches to another VM if that one does not answer. The
+// control VMs are discovered through seed addresses.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,9 +24,9 @@
 
 struct control_watch_options {
   std::string Node;
-  uint64_t Incarnation = 0;
+  uint64_t Incarnation = 0; ///< Differs for each start of the gateway.
   std::string DataHall;
-  std::vector<std::string> Seeds; ///< Where control VMs listen, "IP:port".
+  std::vector<std::string> Seeds; ///< Addresses of control VMs, "IP:port".
 };
 
 class control_watch {
@@ -33,70 +34,80 @@
   control_watch(link_context &Context, struct ev_loop *Loop,
                 control_watch_options Options);
 
-  /// Fills in what was counted, before each question.
+  /// Called before each watch message is sent, to add what the gateway reports.
   std::function<void(wire::watch &)> OnAsk;
-  /// A routing with a higher version than any before is in force.
+  /// Called when a routing with a higher version has come into force.
   std::function<void(const std::shared_ptr<routing_table> &)> OnRouting;
+  /// Called with a notice that has newer roll-outs.
   std::function<void(const wire::notice &)> OnRollouts;
-  /// A session that no canary must take over, as another gateway told.
+  /// Called for each session that another gateway has reported as staying: a
+  /// canary must not take it over.
   std::function<void(uint64_t Key)> OnStaying;
-  /// What a control VM knows of requests that are to go to no upstream.
+  /// Called with every notice; it may list the quarantined requests.
   std::function<void(const wire::notice &)> OnQuarantine;
-  /// The evacuated data halls are not what they were.
+  /// Called when the evacuated data halls have changed.
   std::function<void(const evacuated_halls &)> OnEvacuations;
-  /// How many gateways there are, whenever that has changed.
+  /// Called when the number of gateways has changed.
   std::function<void(uint32_t Count)> OnGateways;
-  /// Where all of them hear of each other's work, whenever that has changed.
+  /// Called when the addresses at which gateways receive each other's load
+  /// updates have changed.
   std::function<void(const std::vector<std::string> &)> OnNewsAddresses;
-  /// The leader knows the platform's list of upstreams as it was \p Age seconds
-  /// ago, and names it and what has changed in the notice.
+  /// Called with a notice that names the list of upstreams, as it was \p Age
+  /// seconds ago at the platform. The notice may contain the list or the
+  /// changes since the one that the gateway holds.
   std::function<void(double Age, const wire::notice &)> OnUpstreams;
 
+  /// Version of the routing in force; 0: none yet.
   uint64_t routingVersion() const { return Routing.copy().version(); }
-  /// When the leader said what this node has in force, on this node's steady
-  /// clock and no later than it did; 0: it has named a newer routing since.
+  /// Until when the routing in force was certainly the newest: a lower bound,
+  /// by this process's steady clock, for the time at which the leader sent its
+  /// last notice. 0 if that notice names a newer version.
   double currentAt() const {
-    return routingVersion() >= LeaderVersion ? LeaderSaidAt : 0;
+    return routingVersion() >= LeaderRoutingVersion ? LeaderSentAt : 0;
   }
-  /// The leader was heard lately, and will tell the list of upstreams.
+  /// True if the leader has answered recently and sends the list of upstreams.
   bool listComes() const;
-  /// Seconds since a control VM was last heard; for logs.
+  /// Seconds since the last message from any control VM.
   double silence() const;
+  /// Replaces the seed addresses.
   void setSeeds(std::vector<std::string> Seeds);
 
 private:
   void tick();
-  void ask();
-  void askAll();
-  void send();
-  void receive(const std::string &From, const wire::notice &Notice);
+  void poll();
+  void pollAll();
+  void sendWatch();
+  void receiveNotice(const std::string &From, const wire::notice &Notice);
   void receivePiece(const std::string &From, const wire::routing_piece &Piece);
-  void askForRouting();
-  void hearUpstreams(const wire::notice &Notice);
-  void moveOn();
-  std::vector<std::string> known() const;
+  void requestRouting();
+  void receiveUpstreams(const wire::notice &Notice);
+  void switchToNext();
+  std::vector<std::string> knownAddresses() const;
   client_link &linkTo(const std::string &Address);
 
   link_context &Context;
   struct ev_loop *Loop;
   control_watch_options Options;
   std::map<std::string, std::unique_ptr<client_link>> Links;
-  std::vector<std::string> Members; ///< As the last notice told.
-  std::string Current;
+  std::vector<std::string> Members; ///< Addresses, from the last notice.
+  std::string Current;              ///< Address of the control VM polled.
   double StartedAt;
-  double AskedAt = 0;
-  double HeardAt = 0;         ///< From the VM that is asked now.
-  double LastHeard;           ///< From any.
-  double LeaderSaidAt = 0;    ///< Its newest notice was sent then or later.
-  uint64_t LeaderVersion = 0; ///< Of the routing, in that notice.
-  bool TellsList = false;     ///< The leader, in that notice.
+  /// When the oldest unanswered poll of Current was sent; if all are answered,
+  /// the last one. 0: none was sent.
+  double PolledAt = 0;
+  double AnsweredAt = 0; ///< Of the last notice from Current.
+  double LastReceivedAt; ///< Of the last message from any control VM.
+  /// The leader's last notice was sent at this time or later.
+  double LeaderSentAt = 0;
+  uint64_t LeaderRoutingVersion = 0; ///< Named by that notice.
+  bool LeaderSendsList = false;      ///< According to that notice.
   routing_fetch Routing;
   uint64_t RolloutsRevision = 0;
   evacuated_halls Evacuated;
   uint32_t Gateways = 0;
   uint64_t GatewaysRevision = 0;
-  bool Leaderless = false; ///< The VM asked now does not know who leads.
-  bool Lost = false;       ///< Logged as lost.
+  bool Leaderless = false;    ///< Current has named no leader.
+  bool LoggedSilence = false; ///< Control's silence has been logged.
   timer Timer;
 };
 
--- a/lease/evacuated_halls.h
+++ b/lease/evacuated_halls.h
@@ -1,6 +1,7 @@
-//===- evacuated_halls.h - Where nothing new goes ---------------*- C++ -*-===//
+//===- evacuated_halls.h - Data halls that get no new requests --*- C++ -*-===//
 //
-// The evacuated data halls as control told them last. Pure.
+// The evacuated data halls according to control's last update. Pure, apart from
+// log lines.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,12 +17,15 @@
 
 class evacuated_halls {
 public:
-  /// True if something has changed. News older than what is held are dropped.
-  bool hear(const wire::evacuation_news &News);
+  /// Applies an update; one that is not newer is ignored. Returns true if it
+  /// was newer.
+  bool hear(const wire::evacuation_news &Update);
   bool contains(std::string_view DataHall) const {
     return Halls.contains(DataHall);
   }
+  /// Names of all evacuated data halls.
   const std::set<std::string, std::less<>> &all() const { return Halls; }
+  /// Of the last update; 0: none yet.
   uint64_t revision() const { return Revision; }
 
 private:
--- a/lease/outbox.h
+++ b/lease/outbox.h
@@ -1,8 +1,9 @@
-//===- outbox.h - Bills kept until control has them -------------*- C++ -*-===//
+//===- outbox.h - Delivers bills to control ---------------------*- C++ -*-===//
 //
-// Collects bills and sends them in batches; a bill stays until control says
-// that it is committed. Entries and sidecars both keep one: the ledger counts
-// a bill once however often it comes.
+// Collects bills and sends them to control in batches. A bill is kept and
+// resent until control confirms that it is committed. The entry and the sidecar
+// of a request both send its bill: the ledger counts a bill once however often
+// it arrives.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,18 +17,20 @@
 
 class bill_outbox {
 public:
-  /// Bills wait \p HoldSeconds before they are first sent; a sidecar holds
-  /// them longer, so that the entry's copy usually comes first.
+  /// Bills are first sent after \p DelaySeconds. A sidecar delays them longer
+  /// than an entry, so that the entry's copy usually arrives first.
   bill_outbox(control_client &Control, struct ev_loop *Loop,
-              double HoldSeconds);
+              double DelaySeconds);
 
   void add(const wire::bill &Bill);
-  size_t pending() const { return Waiting.size() + InFlight.size(); }
-  /// Sends what waits without holding back; for a planned stop.
+  /// Number of bills not confirmed yet.
+  size_t pending() const { return Queued.size() + InFlight.size(); }
+  /// Sends what is queued without further delay, before a planned stop. A batch
+  /// already in flight is waited for first.
   void flush();
 
 private:
-  struct held_bill {
+  struct queued_bill {
     wire::bill Bill;
     double SendAt = 0;
   };
@@ -35,9 +38,9 @@
   void sendBatch(double Now);
 
   control_client &Control;
-  double HoldSeconds;
-  std::deque<held_bill> Waiting;
-  std::deque<held_bill> InFlight;
+  double DelaySeconds;
+  std::deque<queued_bill> Queued;   ///< Not sent yet, or to be resent.
+  std::deque<queued_bill> InFlight; ///< The batch sent last, until answered.
   timer Timer;
 };
 
--- a/lease/routing_fetch.cpp
+++ b/lease/routing_fetch.cpp
@@ -1,4 +1,4 @@
-//===- routing_fetch.cpp - How a gateway gets a newer routing -------------===//
+//===- routing_fetch.cpp - Fetches a newer routing from control -----------===//
 
 #include "lease/routing_fetch.h"
 #include <algorithm>
@@ -7,64 +7,65 @@
 
 namespace {
 
-// A link that callers' answers fill holds a piece up for so long.
-constexpr double FirstPauseSeconds = 0.6;
-constexpr double MostPauseSeconds = 4;
-constexpr double PauseGrowth = 2;
-// All gateways miss the same control VM at the same moment.
-constexpr double PauseSpread = 0.25;
+// A piece may be delayed this long on a link that is full of answers to
+// callers.
+constexpr double MinRetrySeconds = 0.6;
+constexpr double MaxRetrySeconds = 4;
+constexpr double RetryGrowth = 2;
+// Spreads retries: all gateways lose the same control VM at the same moment.
+constexpr double MaxRetryJitter = 0.25;
 
 } // namespace
 
 void routing_fetch::offered(const std::string &From, uint64_t Version) {
-  if (Version < Offered || Version <= Copy.version())
+  if (Version < NewestVersion || Version <= Copy.version())
     return;
-  Offered = Version;
-  Offerer = From;
+  NewestVersion = Version;
+  Source = From;
 }
 
-std::optional<routing_question> routing_fetch::question(double Now) {
-  if (Offered <= Copy.version() || (Open && Now < RepeatAt))
+std::optional<routing_request> routing_fetch::question(double Now) {
+  if (NewestVersion <= Copy.version() || (InFlight && Now < RetryAt))
     return std::nullopt;
-  bool Repeated = Open;
-  PauseSeconds = Repeated
-                     ? std::min(PauseSeconds * PauseGrowth, MostPauseSeconds)
-                     : FirstPauseSeconds;
-  // Pieces of two control VMs do not fit together.
-  if (Copy.comingVersion() == 0 || (Repeated && Asked != Offerer)) {
+  bool Repeated = InFlight;
+  RetrySeconds = Repeated
+                     ? std::min(RetrySeconds * RetryGrowth, MaxRetrySeconds)
+                     : MinRetrySeconds;
+  // Pieces from two control VMs cannot be combined.
+  if (Copy.comingVersion() == 0 || (Repeated && RequestedFrom != Source)) {
     Copy.dropComing();
-    Asked = Offerer;
+    RequestedFrom = Source;
   }
-  std::uniform_real_distribution<double> Spread(1, 1 + PauseSpread);
-  RepeatAt = Now + PauseSeconds * Spread(Random);
-  Open = true;
-  routing_question Question{.To = Asked};
-  Question.Ask.set_held_version(WantsWhole ? 0 : Copy.version());
-  Question.Ask.set_version(Copy.comingVersion());
-  Question.Ask.set_piece(Copy.nextPiece());
-  return Question;
+  std::uniform_real_distribution<double> Jitter(1, 1 + MaxRetryJitter);
+  RetryAt = Now + RetrySeconds * Jitter(Random);
+  InFlight = true;
+  routing_request Request{.To = RequestedFrom};
+  Request.Ask.set_held_version(NeedsFullRouting ? 0 : Copy.version());
+  Request.Ask.set_version(Copy.comingVersion());
+  Request.Ask.set_piece(Copy.nextPiece());
+  return Request;
 }
 
 piece_result routing_fetch::take(const std::string &From,
                                  const wire::routing_piece &Piece) {
-  if (From != Asked)
+  if (From != RequestedFrom)
     return piece_result::Odd;
   piece_result Result = Copy.take(Piece);
   switch (Result) {
   case piece_result::Odd:
     break;
   case piece_result::Kept:
-    Open = false;
+    InFlight = false;
     break;
   case piece_result::InForce:
-    Open = false;
-    WantsWhole = false;
+    InFlight = false;
+    NeedsFullRouting = false;
     break;
   case piece_result::Damaged:
-    // The whole is asked for at once. If that is damaged too, it may be so
-    // again: the open question keeps its pause.
-    Open = WantsWhole;
-    WantsWhole = true;
+    // Request the complete routing at once. If that is damaged as well, the
+    // next attempt may be too, so it waits for the retry interval.
+    InFlight = NeedsFullRouting;
+    NeedsFullRouting = true;
     break;
   }
   return Result;
--- a/lease/routing_fetch.h
+++ b/lease/routing_fetch.h
@@ -1,9 +1,9 @@
-//===- routing_fetch.h - How a gateway gets a newer routing -----*- C++ -*-===//
+//===- routing_fetch.h - Fetches a newer routing from control ---*- C++ -*-===//
 //
-// Asks one control VM at a time for one piece at a time: what is large never
-// stands before timely news on the gateway's link with more than one piece, and
-// control holds nothing for a gateway that does not read. Pure; the clock is
-// passed in.
+// Requests the pieces of a newer routing one at a time from one control VM at a
+// time. So at most one piece is in front of an urgent message on the gateway's
+// link, and control buffers nothing for a gateway that does not read. Pure: the
+// clock is passed in.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,21 +17,25 @@
 
 namespace olivevalve {
 
-/// A question and the control VM that it is for.
-struct routing_question {
-  std::string To;
+/// A request for a piece of the routing.
+struct routing_request {
+  std::string To; ///< Address of the control VM to send it to.
   wire::routing_ask Ask;
 };
 
 class routing_fetch {
 public:
-  /// \p Seed: of the spread of pauses before a question is repeated.
+  /// \p Seed of the random jitter in the retry interval.
   explicit routing_fetch(uint64_t Seed) : Random(Seed) {}
 
-  /// The control VM at \p From holds \p Version.
+  /// Records that the control VM at \p From holds \p Version of the routing.
   void offered(const std::string &From, uint64_t Version);
-  /// What is to be sent now; none while an answer may still come.
-  std::optional<routing_question> question(double Now);
+  /// The request to send now. None if the routing is up to date or an answer
+  /// may still arrive.
+  std::optional<routing_request> question(double Now);
+  /// Applies a piece that arrived from the control VM at \p From. Returns Odd,
+  /// and changes nothing, if the piece was not requested from that VM or does
+  /// not fit the pieces before it.
   piece_result take(const std::string &From, const wire::routing_piece &Piece);
 
   const routing_copy &copy() const { return Copy; }
@@ -39,13 +43,16 @@
 private:
   routing_copy Copy;
   std::mt19937_64 Random;
-  std::string Offerer;     ///< Of the newest version, the last to tell it.
-  uint64_t Offered = 0;    ///< The newest version told.
-  std::string Asked;       ///< Whom the pieces under way come from.
-  bool Open = false;       ///< A question waits for its answer.
-  double RepeatAt = 0;     ///< When it is asked again.
-  double PauseSeconds = 0; ///< Until then; grows while nothing comes.
-  bool WantsWhole = false; ///< What is held cannot be built upon.
+  /// Address of the control VM that last reported NewestVersion.
+  std::string Source;
+  uint64_t NewestVersion = 0; ///< Newest version reported by any control VM.
+  /// Address of the control VM that the current transfer comes from.
+  std::string RequestedFrom;
+  bool InFlight = false;   ///< A request has not been answered yet.
+  double RetryAt = 0;      ///< When that request is repeated.
+  double RetrySeconds = 0; ///< Retry interval; grows without an answer.
+  /// The held routing cannot be the base of changes, so all of it is requested.
+  bool NeedsFullRouting = false;
 };
 
 } // namespace olivevalve
