--- a/control/control_task.h
+++ b/control/control_task.h
@@ -45,7 +45,7 @@
   start(link_context &Context, struct ev_loop *Loop, metrics &Metrics,
         control_options Options);
 
-  /// True once this VM has or knows a leader.
+  /// True if this VM knows the current leader, which may be itself.
   bool ready() const { return Log->core().leader() != 0; }
   void setPeers(std::vector<control_peer> Peers) {
     Log->setPeers(std::move(Peers));
--- a/control/gateway_table.h
+++ b/control/gateway_table.h
@@ -44,8 +44,8 @@
   double FullListSentAt = 0;
   /// Names the set of gateways' addresses that it holds.
   uint64_t GatewaysRevision = 0;
-  /// Staying sessions (those that a canary must not take over) that gateways
-  /// reported up to then have been sent to it.
+  /// The staying sessions reported up to this time have been sent to it. They
+  /// are the sessions that a canary must not take over.
   double StayingSentAt = 0;
 };
 
--- a/control/routing_news.cpp
+++ b/control/routing_news.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Bounds how long an urgent message may wait behind a piece on the link to a
-// gateway.
+// Size of a piece. Bounds how long an urgent message may wait behind it on the
+// link to a gateway.
 constexpr size_t MaxPieceBytes = 16 << 10;
 // Changes kept. At ten changes a second, a gateway that was disconnected for
 // 25 s still gets only the changes rather than the complete routing.
--- a/lease/control_client.h
+++ b/lease/control_client.h
@@ -91,7 +91,7 @@
   size_t LeaderIndex = 0; ///< In Links, of the VM assumed to be the leader.
   double LastGrant = 0;
   double LastRenew = 0;
-  double LastSwitch = 0; ///< When LeaderIndex last changed without a grant.
+  double LastSwitch = 0; ///< When another VM was last tried as the leader.
   uint32_t Entries = 1;
   std::map<std::string, double> Shares;
   evacuated_halls Evacuated;
--- a/lease/control_watch.h
+++ b/lease/control_watch.h
@@ -59,9 +59,9 @@
 
   /// Version of the routing in force; 0: none yet.
   uint64_t routingVersion() const { return Routing.copy().version(); }
-  /// Until when the routing in force was certainly the newest: a lower bound,
-  /// by this process's steady clock, for the time at which the leader sent its
-  /// last notice. 0 if that notice names a newer version.
+  /// Time up to which the routing in force is certain to be the newest, by this
+  /// process's steady clock: the leader sent its last notice then or later. 0
+  /// if that notice names a newer version.
   double currentAt() const {
     return routingVersion() >= LeaderRoutingVersion ? LeaderSentAt : 0;
   }
