--- a/entry/answer_text.cpp
+++ b/entry/answer_text.cpp
@@ -1,4 +1,4 @@
-//===- answer_text.cpp - The text of an answer, for the rating ------------===//
+//===- answer_text.cpp - Text of an answer for the rating service ---------===//
 
 #include "entry/answer_text.h"
 #include "base/fields.h"
@@ -7,11 +7,11 @@
 
 namespace {
 
-// Lines longer than this are no tokens; their rest is not read.
-constexpr size_t MostLine = 64 << 10;
+// Longer lines carry no token; what exceeds the bound is dropped.
+constexpr size_t MaxLineBytes = 64 << 10;
 
-// The string after "content":, still escaped; empty if there is none.
-std::string_view contentOf(std::string_view Line) {
+// The value of the first "content" string, still escaped; empty: none.
+std::string_view escapedContent(std::string_view Line) {
   constexpr std::string_view Name = "\"content\"";
   size_t At = Line.find(Name);
   if (At == std::string_view::npos)
@@ -28,30 +28,30 @@
 } // namespace
 
 void answer_text::feed(std::string_view Bytes) {
-  if (Escaped.size() >= MostBytes)
+  if (Escaped.size() >= MaxBytes)
     return;
   for (;;) {
     size_t End = Bytes.find('\n');
     if (End == std::string_view::npos)
       break;
-    if (Partial.empty()) {
-      takeLine(Bytes.substr(0, End));
+    if (PartialLine.empty()) {
+      parseLine(Bytes.substr(0, End));
     } else {
-      Partial.append(Bytes.substr(0, End));
-      takeLine(Partial);
-      Partial.clear();
+      PartialLine.append(Bytes.substr(0, End));
+      parseLine(PartialLine);
+      PartialLine.clear();
     }
     Bytes.remove_prefix(End + 1);
   }
-  if (Partial.size() < MostLine)
-    Partial.append(Bytes);
+  if (PartialLine.size() < MaxLineBytes)
+    PartialLine.append(Bytes);
 }
 
-void answer_text::takeLine(std::string_view Line) {
+void answer_text::parseLine(std::string_view Line) {
   if (!Line.starts_with("data:"))
     return;
-  std::string_view Content = contentOf(Line);
-  if (Escaped.size() + Content.size() <= MostBytes)
+  std::string_view Content = escapedContent(Line);
+  if (Escaped.size() + Content.size() <= MaxBytes)
     Escaped.append(Content);
 }
 
@@ -61,16 +61,16 @@
 }
 
 void answer_text::clear() {
-  Partial.clear();
+  PartialLine.clear();
   Escaped.clear();
 }
 
 std::string textOfAnswer(const std::string &Body) {
   json Answer = json::parse(Body, nullptr, false);
   json::json_pointer Content("/choices/0/message/content");
-  bool Has = Answer.is_object() && Answer.contains(Content) &&
-             Answer[Content].is_string();
-  return Has ? Answer[Content].get<std::string>() : Body;
+  bool HasContent = Answer.is_object() && Answer.contains(Content) &&
+                    Answer[Content].is_string();
+  return HasContent ? Answer[Content].get<std::string>() : Body;
 }
 
 } // namespace olivevalve
--- a/entry/answer_text.h
+++ b/entry/answer_text.h
@@ -1,7 +1,8 @@
-//===- answer_text.h - The text of an answer, for the rating ----*- C++ -*-===//
+//===- answer_text.h - Text of an answer for the rating service -*- C++ -*-===//
 //
-// Takes the text out of a streamed answer while it passes, and out of a plain
-// one: what surrounds a token in a stream is many times as long as the token.
+// Extracts the text from a streamed answer as it passes, or from a plain one.
+// Only the text is buffered, since the JSON around a token in a stream is many
+// times as long as the token.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,24 +14,28 @@
 
 namespace olivevalve {
 
+/// Collects the text of a streamed answer.
 class answer_text {
 public:
-  /// The next bytes of a stream of chat.completion.chunk events, cut anywhere.
+  /// Takes the next bytes of a stream of chat.completion.chunk events; they may
+  /// be split anywhere.
   void feed(std::string_view Bytes);
-  /// The text so far, at most MostBytes of it.
+  /// The text so far, bounded in length.
   std::string text() const;
   void clear();
 
-  static constexpr size_t MostBytes = 16 << 10;
+  /// Bound on the text, in escaped form.
+  static constexpr size_t MaxBytes = 16 << 10;
 
 private:
-  void takeLine(std::string_view Line);
+  void parseLine(std::string_view Line);
 
-  std::string Partial; ///< A line whose end has not come.
-  std::string Escaped; ///< As it stands between the quotes of JSON.
+  std::string PartialLine; ///< Beginning of a line that is not complete yet.
+  std::string Escaped;     ///< The text with its JSON escapes.
 };
 
-/// The text of a plain answer; the whole body if it has none where it should.
+/// The text of a plain answer; the whole body if it is not in the expected
+/// place.
 std::string textOfAnswer(const std::string &Body);
 
 } // namespace olivevalve
--- a/entry/chat_request.cpp
+++ b/entry/chat_request.cpp
@@ -1,4 +1,4 @@
-//===- chat_request.cpp - What a caller asked for -------------------------===//
+//===- chat_request.cpp - Chat completion requests ------------------------===//
 
 #include "entry/chat_request.h"
 #include "base/digest.h"
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Prompts that share this many first bytes share an engine's cached prefix.
+// Prompts with this many leading bytes in common are routed for prefix caching.
 constexpr size_t PrefixBytes = 512;
 
 } // namespace
--- a/entry/chat_request.h
+++ b/entry/chat_request.h
@@ -1,7 +1,7 @@
-//===- chat_request.h - What a caller asked for -----------------*- C++ -*-===//
+//===- chat_request.h - Chat completion requests ----------------*- C++ -*-===//
 //
-// Reads the body of /v1/chat/completions as far as routing needs it, and
-// writes the body that goes to the engine.
+// Parses the body of /v1/chat/completions as far as routing needs it and writes
+// the body that is sent to the engine.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,17 +14,20 @@
 
 namespace olivevalve {
 
+/// A parsed request body.
 struct chat_request {
   json Body;
-  std::string Model; ///< A template, a model, or model@version.
+  std::string Model; ///< A template, a model or model@version.
   bool Stream = false;
-  uint64_t PrefixHash = 0; ///< Of the start of the prompt, for cache affinity.
+  uint64_t PrefixHash = 0; ///< Of the prompt's beginning, for cache affinity.
   size_t PromptBytes = 0;
 };
 
+/// Error: BadRequest, naming the field.
 absl::StatusOr<chat_request> parseChatRequest(const std::string &Body);
 
-/// The body for one version's engine.
+/// The body for the engine that serves the chosen version under the name
+/// \p EngineModel. Streams always include their usage.
 std::string engineBody(const chat_request &Request,
                        const std::string &EngineModel);
 
--- a/entry/entry_task.cpp
+++ b/entry/entry_task.cpp
@@ -14,19 +14,20 @@
 namespace {
 
 constexpr double TickSeconds = 0.05;
-constexpr double MostDeadline = 3600;
-constexpr size_t MostHeaderText = 256;
-// Connections beyond the open requests, so that one request too many hears
-// that it did not run, and idle connections do not keep others out.
-constexpr unsigned SpareConnections = 256;
+constexpr double MaxDeadlineSeconds = 3600;
+constexpr size_t MaxHeaderValueBytes = 256;
+// Connections allowed beyond MaxOpenRequests: a request above that bound can
+// then be refused with an error instead of at connect, and idle connections do
+// not keep others out.
+constexpr unsigned ExtraConnections = 256;
 
 http_limits limitsOf(const entry_options &Options) {
   return {.MaxBodyBytes = size_t(Options.MaxBodyBytes),
           .MaxConnections =
-              unsigned(Options.MaxOpenRequests) + SpareConnections};
+              unsigned(Options.MaxOpenRequests) + ExtraConnections};
 }
 
-// A candidate without a version means every version of the model.
+// A candidate without a version stands for all versions of its model.
 std::vector<version_name> expand(const std::vector<version_name> &Names,
                                  const catalog &Config) {
   std::vector<version_name> List;
@@ -83,8 +84,8 @@
     Renew.set_open_requests(uint32_t(Tasks.size()));
     Crashes.fill(*Renew.mutable_crashes(), Renew.sent_at());
     double Now = steadySeconds();
-    for (const auto &[Account, Use] : Uses) {
-      double Rate = Use.Meter.perSecond(Now);
+    for (const auto &[Account, Usage] : AccountUsage) {
+      double Rate = Usage.Meter.perSecond(Now);
       if (Rate < 0.01)
         continue;
       wire::account_demand *Demand = Renew.add_demand();
@@ -138,7 +139,7 @@
         *Exchange,
         makeError(error_kind::EntryFull,
                   absl::StrCat("this entry has ", Options.MaxOpenRequests,
-                               " requests open, its most")));
+                               " open requests, the maximum")));
   if (!Control.hasLease())
     return refuse(*Exchange, makeError(error_kind::NoLease,
                                        "this entry holds no configuration "
@@ -158,7 +159,7 @@
     return service(Exchange, *Account, *Service);
   refuse(*Exchange,
          makeError(error_kind::NotFound,
-                   Exchange->method() + " " + Path + " is not known"));
+                   Exchange->method() + " " + Path + " does not exist"));
 }
 
 request_facts entry_task::commonFacts(const http_exchange &Exchange,
@@ -183,17 +184,17 @@
   double Milliseconds = 0;
   auto Parsed =
       std::from_chars(Text.data(), Text.data() + Text.size(), Milliseconds);
-  bool Good = !Text.empty() && Parsed.ec == std::errc() &&
-              Parsed.ptr == Text.data() + Text.size() && Milliseconds > 0;
-  if (Good)
-    Deadline = std::min(Milliseconds * 1e-3, MostDeadline);
+  bool Valid = !Text.empty() && Parsed.ec == std::errc() &&
+               Parsed.ptr == Text.data() + Text.size() && Milliseconds > 0;
+  if (Valid)
+    Deadline = std::min(Milliseconds * 1e-3, MaxDeadlineSeconds);
   else if (!Text.empty())
     Deadline = -1;
   Facts.Deadline = Deadline < 0 ? -1 : Facts.Arrived + Deadline;
   return Facts;
 }
 
-// The model may name a template, a model or one version.
+// The model field may name a template, a model or a version.
 absl::Status entry_task::resolveModel(request_facts &Facts,
                                       const account_spec &Account) const {
   const catalog &Config = Control.config();
@@ -209,17 +210,17 @@
       Facts.QualityTarget = Template->QualityTarget;
     if (Account.Priority < 0)
       Priority = Template->Priority;
-    auto Own = Account.Templates.find(Template->Name);
-    if (Own != Account.Templates.end()) {
-      if (Own->second.QualityTarget >= 0)
-        Facts.QualityTarget = Own->second.QualityTarget;
-      if (Own->second.Priority >= 0)
-        Priority = Own->second.Priority;
+    auto Override = Account.Templates.find(Template->Name);
+    if (Override != Account.Templates.end()) {
+      if (Override->second.QualityTarget >= 0)
+        Facts.QualityTarget = Override->second.QualityTarget;
+      if (Override->second.Priority >= 0)
+        Priority = Override->second.Priority;
     }
   } else if (!Config.model(Named[0].Model)) {
     return makeError(error_kind::NotFound,
                      "model: " + Facts.Chat.Model +
-                         " is no template, model or model@version; see GET "
+                         " is not a template, model or model@version; see GET "
                          "/v1/models");
   } else {
     Facts.Policy = cheapest_policy{};
@@ -236,16 +237,16 @@
 }
 
 absl::Status entry_task::withinLimits(const account_spec &Account) {
-  account_use &Use = Uses[Account.Name];
+  account_usage &Usage = AccountUsage[Account.Name];
   double Now = steadySeconds();
-  Use.Meter.count(Now);
+  Usage.Meter.count(Now);
   double Share = Control.shareOf(Account.Name);
   double Concurrent = std::max(1.0, double(Account.Concurrent) * Share);
-  if (double(Use.Open) >= Concurrent)
+  if (double(Usage.Open) >= Concurrent)
     return makeError(error_kind::ConcurrencyLimited,
                      absl::StrCat("more than ", Account.Concurrent,
-                                  " requests at once over all entries"));
-  if (!Use.Rate.take(Account.RequestsPerSecond * Share, Now))
+                                  " concurrent requests over all entries"));
+  if (!Usage.Rate.take(Account.RequestsPerSecond * Share, Now))
     return makeError(error_kind::RateLimited,
                      absl::StrCat("more than ", Account.RequestsPerSecond,
                                   " requests per second over all entries"));
@@ -308,15 +309,15 @@
       Add(Template.Name);
   });
   Config.forEach<model_spec>([&](const model_spec &Model) {
-    bool Any = false;
+    bool HasVersion = false;
     for (const auto &[Version, Spec] : Model.Versions) {
       version_name Name{Model.Name, Version};
       if (!takesNewWork(Spec.State) || !allowsVersion(Account, Name))
         continue;
-      Any = true;
+      HasVersion = true;
       Add(Name.text());
     }
-    if (Any)
+    if (HasVersion)
       Add(Model.Name);
   });
   Exchange->reply(200, "application/json",
@@ -324,15 +325,15 @@
 }
 
 void entry_task::start(const exchange &Exchange, request_facts Facts) {
-  bool LongText = Facts.Key.size() > MostHeaderText ||
-                  Facts.Session.size() > MostHeaderText;
-  if (LongText)
+  bool TooLong = Facts.Key.size() > MaxHeaderValueBytes ||
+                 Facts.Session.size() > MaxHeaderValueBytes;
+  if (TooLong)
     return refuse(*Exchange,
                   makeError(error_kind::BadRequest,
                             "Idempotency-Key, X-Session: at most 256 bytes"));
-  bool Clean = isPrintable(Facts.Key) && isPrintable(Facts.Session) &&
-               isPrintable(Facts.Path) && isPrintable(Facts.ContentType);
-  if (!Clean)
+  bool Printable = isPrintable(Facts.Key) && isPrintable(Facts.Session) &&
+                   isPrintable(Facts.Path) && isPrintable(Facts.ContentType);
+  if (!Printable)
     return refuse(*Exchange,
                   makeError(error_kind::BadRequest,
                             "path, Content-Type, Idempotency-Key, X-Session: "
@@ -346,7 +347,7 @@
   auto Task =
       std::make_shared<request_task>(Context, Exchange, std::move(Facts));
   Tasks[Number] = Task;
-  ++Uses[Account].Open;
+  ++AccountUsage[Account].Open;
   std::weak_ptr<request_task> Weak = Task;
   Exchange->OnGone = [Weak] {
     if (auto Task = Weak.lock())
@@ -386,46 +387,46 @@
   bool Current = It != Tasks.end() && It->second->owns(*Id);
   if (Current)
     return It->second->onMessage(Upstream, Message);
-  // The answer to a question about another request's attempt.
+  // A reply to a query about another request's attempt.
   if (Message.has_cancel_result())
     for (auto &[Number, Task] : Tasks)
-      if (Task->asksAbout() == keyOf(*Id))
+      if (Task->queriedAttempt() == keyOf(*Id))
         return Task->onMessage(Upstream, Message);
   Metrics.count("dropped_messages", "entry");
 }
 
 void entry_task::onLost(const std::string &Upstream) {
-  std::vector<std::shared_ptr<request_task>> Present;
+  std::vector<std::shared_ptr<request_task>> Snapshot;
   for (auto &[Number, Task] : Tasks)
-    Present.push_back(Task);
-  for (auto &Task : Present)
+    Snapshot.push_back(Task);
+  for (auto &Task : Snapshot)
     Task->onLost(Upstream);
 }
 
 void entry_task::tick() {
   double Now = steadySeconds();
-  std::vector<std::shared_ptr<request_task>> Present;
+  std::vector<std::shared_ptr<request_task>> Snapshot;
   for (auto &[Number, Task] : Tasks)
-    Present.push_back(Task);
-  for (auto &Task : Present)
+    Snapshot.push_back(Task);
+  for (auto &Task : Snapshot)
     Task->tick(Now);
-  sweep();
+  removeFinished();
   Metrics.gauge("open_requests", double(Tasks.size()));
   Metrics.gauge("pinned_sessions", double(Sessions.size()));
 }
 
-// Requests that are over are swept now and then; here they must not count.
+// Finished requests are removed only periodically and must not count here.
 bool entry_task::isFull() {
   if (int64_t(Tasks.size()) >= Options.MaxOpenRequests)
-    sweep();
+    removeFinished();
   return int64_t(Tasks.size()) >= Options.MaxOpenRequests;
 }
 
-void entry_task::sweep() {
+void entry_task::removeFinished() {
   std::erase_if(Tasks, [&](const auto &Item) {
     if (!Item.second->over())
       return false;
-    --Uses[Item.second->facts().Account].Open;
+    --AccountUsage[Item.second->facts().Account].Open;
     return true;
   });
 }
@@ -433,7 +434,8 @@
 bool entry_task::ready() const {
   const node_spec *Node = Control.config().node(Options.Node);
   bool Drained = Node && Node->Draining;
-  return Control.hasLease() && !Stopping && !Drained && Pool.acquainted();
+  return Control.hasLease() && !Stopping && !Drained &&
+         Pool.hasInitialReports();
 }
 
 void entry_task::drain() {
--- a/entry/entry_task.h
+++ b/entry/entry_task.h
@@ -1,7 +1,7 @@
 //===- entry_task.h - The entry role ----------------------------*- C++ -*-===//
 //
-// Takes callers' HTTP requests, checks who asks for what, keeps to the client
-// account's limits, and hands each request to a request_task.
+// Receives HTTP requests from callers, authenticates them, enforces the limits
+// of their client account, and starts a request_task for each.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,17 +13,19 @@
 
 namespace olivevalve {
 
+/// Settings of the entry role.
 struct entry_options {
   std::string Node;
   std::string DataHall;
-  std::string Address;   ///< HTTP, towards callers.
-  std::string RatingUrl; ///< "http://IP:port", or empty.
-  double DefaultDeadline = 60;
+  std::string Address;         ///< "IP:port" where callers connect.
+  std::string RatingUrl;       ///< "http://IP:port"; empty: no ratings.
+  double DefaultDeadline = 60; ///< Seconds, for callers that give none.
   int64_t MaxBodyBytes = 8 << 20;
   int64_t MaxOpenRequests = 4000;
   std::vector<control_member_address> Control;
 };
 
+/// Serves the callers of one entry process.
 class entry_task {
 public:
   entry_task(link_context &Context, struct ev_loop *Loop, metrics &Metrics,
@@ -31,17 +33,21 @@
 
   bool bind() { return Server.bind(Options.Address); }
   std::string address() const { return Server.address(); }
+  /// True if the entry can serve requests: it holds a lease, is not draining,
+  /// and has the first reports of its upstreams.
   bool ready() const;
-  /// New requests are refused from now on; those that run go on.
+  /// Refuses new requests from now on; requests in progress are completed.
   void drain();
+  /// True if no request, bill or rating is pending.
   bool drained() const;
+  /// Gives the lease back to control.
   void leave() { Control.leave(); }
 
 private:
-  struct account_use {
+  struct account_usage {
     rate_limit Rate;
     rate_meter Meter;
-    int64_t Open = 0;
+    int64_t Open = 0; ///< Requests in progress.
   };
   using exchange = std::shared_ptr<http_exchange>;
 
@@ -63,7 +69,7 @@
   void onGrant(const wire::grant &Grant);
   void tick();
   bool isFull();
-  void sweep();
+  void removeFinished();
 
   metrics &Metrics;
   entry_options Options;
@@ -80,10 +86,10 @@
   uint64_t EstimatesIndex = 0;
   std::map<version_name, double> Allowances;
   retry_budget Retries;
-  crash_reports Crashes; ///< Only what control has quarantined.
+  crash_reports Crashes; ///< Used only for the quarantine that control sends.
   entry_context Context;
   std::map<uint64_t, std::shared_ptr<request_task>> Tasks;
-  std::map<std::string, account_use> Uses;
+  std::map<std::string, account_usage> AccountUsage;
   uint64_t NextNumber = 1;
   bool Stopping = false;
   http_server Server;
--- a/entry/rater.cpp
+++ b/entry/rater.cpp
@@ -1,4 +1,4 @@
-//===- rater.cpp - The contract with the rating service -------------------===//
+//===- rater.cpp - Client of the rating service ---------------------------===//
 
 #include "entry/rater.h"
 #include "base/fields.h"
@@ -9,15 +9,15 @@
 
 namespace {
 
-constexpr double BatchSeconds = 0.5;
-constexpr double AnswerSeconds = 5;
-// Ratings held while control cannot be reached; the oldest go first.
-constexpr size_t MostHeld = 10000;
-// Answers at the service at once; more are not rated. A service that stops
-// must not fill the entry's memory.
-constexpr size_t MostAsking = 64;
-// What the service gets of question and answer at most.
-constexpr size_t MostText = 32 << 10;
+constexpr double BatchIntervalSeconds = 0.5;
+constexpr double ReportTimeoutSeconds = 5;
+// Ratings queued while control cannot be reached; further ones are dropped.
+constexpr size_t MaxQueuedRatings = 10000;
+// Requests open at the rating service; further answers are not rated, so that a
+// service that has stopped responding does not fill the entry's memory.
+constexpr size_t MaxActiveRequests = 64;
+// Question and answer are each cut to this size before they are sent.
+constexpr size_t MaxTextBytes = 32 << 10;
 
 std::optional<double> parseScore(const std::string &Body) {
   json Object = json::parse(Body, nullptr, false);
@@ -33,21 +33,21 @@
              const std::string &Reporter)
     : Control(Control), Http(Loop), Url(std::move(Url)), Reporter(Reporter),
       Timer(Loop, [this] { sendBatch(); }) {
-  Timer.startRepeating(BatchSeconds);
+  Timer.startRepeating(BatchIntervalSeconds);
 }
 
 void rater::rate(const rated_answer &Answer, double Seconds,
                  std::function<void(std::optional<double>)> Done) {
-  if (!enabled() || Asking >= MostAsking)
+  if (!enabled() || ActiveRequests >= MaxActiveRequests)
     return Done(std::nullopt);
-  ++Asking;
+  ++ActiveRequests;
   json Question = {{"request_id", Answer.RequestId},
                    {"template", Answer.Template},
                    {"account", Answer.Account},
                    {"model", Answer.Version.Model},
                    {"version", Answer.Version.Version},
-                   {"request", Answer.Question.substr(0, MostText)},
-                   {"answer", Answer.Answer.substr(0, MostText)}};
+                   {"request", Answer.Question.substr(0, MaxTextBytes)},
+                   {"answer", Answer.Answer.substr(0, MaxTextBytes)}};
   fetch_options Request;
   Request.Method = "POST";
   Request.Url = Url + "/v1/ratings";
@@ -59,24 +59,24 @@
     Body->append(Bytes);
     return true;
   };
-  rated_answer Kept = Answer;
-  Kept.Question.clear();
-  Kept.Answer.clear();
-  Request.OnDone = [this, Body, Kept,
+  rated_answer Summary = Answer;
+  Summary.Question.clear();
+  Summary.Answer.clear();
+  Request.OnDone = [this, Body, Summary,
                     Done = std::move(Done)](const fetch_result &Result) {
-    --Asking;
+    --ActiveRequests;
     std::optional<double> Score;
     if (Result.Error.empty() && Result.Status == 200)
       Score = parseScore(*Body);
     if (Score)
-      report(Kept, *Score, false, "");
+      report(Summary, *Score, false, "");
     Done(Score);
   };
   Http.start(std::move(Request));
 }
 
-void rater::reportArm(const rated_answer &Answer, const arm &Arm,
-                      double Score) {
+void rater::reportCascade(const rated_answer &Answer, const arm &Arm,
+                          double Score) {
   report(Answer, Score, false, Arm.text());
 }
 
@@ -86,7 +86,7 @@
 
 void rater::report(const rated_answer &Answer, double Score, bool Failed,
                    const std::string &Arm) {
-  if (Ratings.size() >= MostHeld)
+  if (Ratings.size() >= MaxQueuedRatings)
     return;
   wire::rating Rating;
   Rating.set_template_(Answer.Template);
@@ -102,7 +102,7 @@
 
 void rater::countExposure(const version_name &Version) { ++Exposures[Version]; }
 
-double rater::unconfirmed(const version_name &Version) const {
+double rater::unconfirmedExposures(const version_name &Version) const {
   double Sum = 0;
   for (const auto *Map : {&Exposures, &ExposuresInFlight}) {
     auto It = Map->find(Version);
@@ -113,8 +113,8 @@
 }
 
 void rater::sendBatch() {
-  bool Nothing = Ratings.empty() && Exposures.empty();
-  if (InFlight || (Nothing && !Batch.has_ratings()))
+  bool Empty = Ratings.empty() && Exposures.empty();
+  if (InFlight || (Empty && !Batch.has_ratings()))
     return;
   if (!Batch.has_ratings()) {
     wire::rating_batch *New = Batch.mutable_ratings();
@@ -133,13 +133,14 @@
     Exposures.clear();
   }
   InFlight = true;
-  Control.ask(Batch, AnswerSeconds, [this](const wire::envelope *Answer) {
-    InFlight = false;
-    if (!Answer || !Answer->has_ack())
-      return;
-    Batch.Clear();
-    ExposuresInFlight.clear();
-  });
+  Control.ask(Batch, ReportTimeoutSeconds,
+              [this](const wire::envelope *Answer) {
+                InFlight = false;
+                if (!Answer || !Answer->has_ack())
+                  return;
+                Batch.Clear();
+                ExposuresInFlight.clear();
+              });
 }
 
 } // namespace olivevalve
--- a/entry/rater.h
+++ b/entry/rater.h
@@ -1,7 +1,8 @@
-//===- rater.h - The contract with the rating service -----------*- C++ -*-===//
+//===- rater.h - Client of the rating service -------------------*- C++ -*-===//
 //
-// Sends answers to the rating service and what comes back to control. All that
-// is known of the service's interface stands here; see docs/INTERFACES.md.
+// Sends answers to the rating service and reports the scores to control in
+// batches. The service's interface, described in docs/INTERFACES.md, is known
+// only here.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,35 +17,41 @@
 
 namespace olivevalve {
 
+/// An answer to be rated or reported.
 struct rated_answer {
   std::string RequestId;
   std::string Template;
   std::string Account;
   version_name Version;
-  std::string Question; ///< The caller's body.
-  std::string Answer;
-  double Cost = 0;
+  std::string Question; ///< The request's body.
+  std::string Answer;   ///< The answer's text.
+  double Cost = 0;      ///< In price units.
 };
 
+/// Obtains ratings and reports them, with exposures, to control.
 class rater {
 public:
-  /// No ratings without \p Url, "http://IP:port".
+  /// \p Url is "http://IP:port" of the rating service; empty: no ratings.
+  /// \p Reporter identifies this incarnation of the entry to control.
   rater(control_client &Control, struct ev_loop *Loop, std::string Url,
         const std::string &Reporter);
 
   bool enabled() const { return !Url.empty(); }
-  /// Asks for a rating; \p Done gets the score, or nothing when it did not
-  /// come in time. The score is reported to control in either case.
+  /// Requests a rating. \p Done gets the score, 0 to 1, or nothing if none came
+  /// within \p Seconds or too many ratings are in progress. A score is also
+  /// reported to control.
   void rate(const rated_answer &Answer, double Seconds,
             std::function<void(std::optional<double>)> Done);
-  /// Reports a cascade as a whole.
-  void reportArm(const rated_answer &Answer, const arm &Arm, double Score);
+  /// Reports the score of a cascade as a whole.
+  void reportCascade(const rated_answer &Answer, const arm &Arm, double Score);
+  /// Reports an attempt that failed.
   void reportFailure(const rated_answer &Answer);
   /// Counts an answer against its version's exposure budget.
   void countExposure(const version_name &Version);
-  /// Answers counted but not yet confirmed by control.
-  double unconfirmed(const version_name &Version) const;
+  /// Answers counted by countExposure() that control has not confirmed yet.
+  double unconfirmedExposures(const version_name &Version) const;
   size_t pending() const { return Ratings.size() + Exposures.size(); }
+  /// Sends what is pending without waiting for the next batch.
   void flush() { sendBatch(); }
 
 private:
@@ -59,10 +66,10 @@
   uint64_t Sequence = 0;
   std::vector<wire::rating> Ratings;
   std::map<version_name, uint64_t> Exposures;
-  std::map<version_name, uint64_t> ExposuresInFlight;
-  size_t Asking = 0; ///< Ratings asked for and not yet given.
+  std::map<version_name, uint64_t> ExposuresInFlight; ///< Those in Batch.
+  size_t ActiveRequests = 0; ///< Requests open at the rating service.
   bool InFlight = false;
-  wire::envelope Batch; ///< Resent as it is until control has it.
+  wire::envelope Batch; ///< Sent again unchanged until control confirms it.
   timer Timer;
 };
 
--- a/entry/request_choice.cpp
+++ b/entry/request_choice.cpp
@@ -1,7 +1,7 @@
-//===- request_choice.cpp - Which version answers a request ---------------===//
+//===- request_choice.cpp - Choice of the version for a request -----------===//
 //
-// The part of request_task that finds the versions which may answer, lets
-// policy choose among them, and keeps a session with its version.
+// The part of request_task that collects the candidate versions, has policy
+// choose among them, and keeps a session on its version.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,8 +12,9 @@
 
 namespace {
 
-// Tokens of a usual answer, for costs of versions never used; 4 bytes a token.
-constexpr double UsualOutputTokens = 300;
+// Assumed length of an answer, in tokens, and 4 bytes for each prompt token:
+// for the prior cost of versions that have not been used yet.
+constexpr double TypicalOutputTokens = 300;
 constexpr double BytesPerToken = 4;
 
 } // namespace
@@ -27,42 +28,44 @@
 
 bool request_task::versionUsable(const version_name &Name, bool Pinned) const {
   const version_spec *Spec = Context.Control.config().version(Name);
-  bool Held = Spec && Spec->State == version_state::Paused;
-  return Spec && takesNewWork(Spec->State) && (Pinned || !Held) &&
+  bool Paused = Spec && Spec->State == version_state::Paused;
+  return Spec && takesNewWork(Spec->State) && (Pinned || !Paused) &&
          !Withdrawn.contains(Name);
 }
 
-bool request_task::stoppedHere(const version_name &Name) const {
+bool request_task::isStopped(const version_name &Name) const {
   const version_spec *Spec = Context.Control.config().version(Name);
   return Spec && Spec->StoppedFor.covers(Facts.Template, Facts.Account);
 }
 
 double request_task::priorCost(const version_spec &Spec) const {
   double Input = double(Facts.Chat.PromptBytes) / BytesPerToken;
-  return (Input * Spec.InputPrice + UsualOutputTokens * Spec.OutputPrice) *
+  return (Input * Spec.InputPrice + TypicalOutputTokens * Spec.OutputPrice) *
          1e-6;
 }
 
-// Versions that the guard has ended for this template or account are used only
-// when there is no other: a poor answer is better than none, and better than
-// asking upstreams that failed a moment ago. Those come last.
+// Versions that the guard has stopped for this template or client account are
+// used only if there is no other, because a poor answer is better than none.
+// They still come before upstreams whose breaker is open, which failed only a
+// moment ago.
 std::vector<version_candidate> request_task::candidates() const {
-  for (trust Trust : {trust::Sound, trust::Suspect})
+  for (breaker_policy Breakers :
+       {breaker_policy::ClosedOnly, breaker_policy::IncludeOpen})
     for (bool WithStopped : {false, true}) {
-      std::vector<version_candidate> List = candidates(WithStopped, Trust);
+      std::vector<version_candidate> List = candidates(WithStopped, Breakers);
       if (!List.empty())
         return List;
     }
   return {};
 }
 
-std::vector<version_candidate> request_task::candidates(bool WithStopped,
-                                                        trust Trust) const {
+std::vector<version_candidate>
+request_task::candidates(bool WithStopped, breaker_policy Breakers) const {
   const catalog &Config = Context.Control.config();
   std::vector<version_candidate> List;
   for (const version_name &Name : Facts.Candidates) {
     if (!versionUsable(Name, false) ||
-        !Context.Pool.canServe(need(Name), Config, Trust))
+        !Context.Pool.canServe(need(Name), Config, Breakers))
       continue;
     const version_spec &Spec = *Config.version(Name);
     bool Stopped = Spec.StoppedFor.covers(Facts.Template, Facts.Account);
@@ -72,7 +75,8 @@
     Candidate.Rolling = Spec.State == version_state::Rolling;
     auto Allowance = Context.Allowances.find(Name);
     if (Allowance != Context.Allowances.end())
-      Candidate.Allowance = Allowance->second - Context.Rater.unconfirmed(Name);
+      Candidate.Allowance =
+          Allowance->second - Context.Rater.unconfirmedExposures(Name);
     List.push_back(std::move(Candidate));
   }
   return List;
@@ -89,67 +93,68 @@
                    Context.Random);
 }
 
-// Sidecars may hear of a withdrawal before this entry does. False if there is
-// no other version.
+// Called when a sidecar has learned of a version's withdrawal before this
+// entry. Returns false if there is no other version.
 bool request_task::chooseAnother() {
   Withdrawn.insert(Version);
   if (candidates().empty())
     return false;
   Stage = stage::Choosing;
   if (Facts.Session.empty())
-    chooseFreely();
+    chooseUnpinned();
   else
     choosePinned();
   return true;
 }
 
-void request_task::chooseFreely() {
+void request_task::chooseUnpinned() {
   bool MayCascade = !Facts.Chat.Stream && !claimed() &&
                     Context.Rater.enabled() && Facts.Session.empty();
   auto Choice = choose(MayCascade);
   if (!Choice)
     return refuse(error_kind::NoUpstream,
-                  "no allowed version has an upstream that takes work");
+                  "no allowed version has an upstream that accepts requests");
   Arm = Choice->Arm;
   run(Arm.First);
 }
 
-// A known pin is used as it is; a session whose version was withdrawn gets a
-// new one, which all entries agree on.
+// A cached pin is used without a request to control. If its version has been
+// withdrawn or stopped, a new pin is proposed; control makes sure that all
+// entries use the same one.
 void request_task::choosePinned() {
   session_key Key{Facts.Account, Facts.Session, Facts.Template};
-  auto Known = Context.Sessions.known(Key);
-  if (Known && versionUsable(*Known, true) && !stoppedHere(*Known)) {
-    Arm = {*Known, {}};
-    return run(*Known);
+  auto Cached = Context.Sessions.cachedPin(Key);
+  if (Cached && versionUsable(*Cached, true) && !isStopped(*Cached)) {
+    Arm = {*Cached, {}};
+    return run(*Cached);
   }
   auto Choice = choose(false);
   if (!Choice)
     return refuse(error_kind::NoUpstream,
-                  "no allowed version has an upstream that takes work");
-  pin(Choice->Arm.First, Known);
+                  "no allowed version has an upstream that accepts requests");
+  pin(Choice->Arm.First, Cached);
 }
 
 void request_task::pin(const version_name &Wanted,
                        const std::optional<version_name> &Replaces) {
   session_key Key{Facts.Account, Facts.Session, Facts.Template};
   auto Self = shared_from_this();
-  ++PinTries;
+  ++PinAttempts;
   Context.Sessions.pin(
       Key, Wanted, Replaces,
-      [this, Self, Wanted](std::optional<version_name> Stands) {
+      [this, Self, Wanted](std::optional<version_name> Committed) {
         if (Stage != stage::Choosing)
           return;
-        if (!Stands)
+        if (!Committed)
           return refuse(error_kind::NoLease,
-                        "control could not be asked for the session's "
-                        "version");
-        bool Gone = !versionUsable(*Stands, true) ||
-                    (stoppedHere(*Stands) && *Stands != Wanted);
-        if (Gone && PinTries < 4)
-          return pin(Wanted, Stands);
-        Arm = {*Stands, {}};
-        run(*Stands);
+                        "control did not respond to the request for the "
+                        "session's version");
+        bool Unusable = !versionUsable(*Committed, true) ||
+                        (isStopped(*Committed) && *Committed != Wanted);
+        if (Unusable && PinAttempts < 4)
+          return pin(Wanted, Committed);
+        Arm = {*Committed, {}};
+        run(*Committed);
       });
 }
 
--- a/entry/request_claims.cpp
+++ b/entry/request_claims.cpp
@@ -1,7 +1,7 @@
 //===- request_claims.cpp - Requests that may run only once ---------------===//
 //
-// The part of a request_task that claims its Idempotency-Key, finds out what
-// became of an earlier attempt under the same key, and hands out its outcome.
+// The part of request_task that claims an Idempotency-Key, finds out what
+// became of an earlier attempt under the same key, and replays its outcome.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,7 +17,7 @@
   wire::claim_value Value;
   *Value.mutable_id() = Id;
   Value.set_upstream(Upstream);
-  Value.set_sidecar_incarnation(SentTo);
+  Value.set_sidecar_incarnation(SidecarIncarnation);
   wire::envelope Message;
   wire::claim *Claim = Message.mutable_claim();
   Claim->set_space("request");
@@ -34,13 +34,13 @@
                           return;
                         if (!Answer || !Answer->has_claim_result())
                           return refuse(error_kind::NoLease,
-                                        "control could not be asked whether "
-                                        "this request ran before");
+                                        "control did not respond to the query "
+                                        "whether this request ran before");
                         onClaimed(Answer->claim_result());
                       });
 }
 
-// The attempt leaves only after the claim has been committed by a quorum.
+// An attempt is sent only after a quorum has committed its claim.
 void request_task::onClaimed(const wire::claim_result &Result) {
   if (Result.won())
     return dispatch();
@@ -53,7 +53,7 @@
   uint64_t Hash = checksum(Facts.Method + Facts.Path + Facts.Body);
   if (Result.request_hash() != Hash)
     return refuse(error_kind::KeyReused,
-                  "Idempotency-Key: was used for another request");
+                  "Idempotency-Key: was used for a different request");
   if (Result.finished() && Result.kind())
     return refuse(kindFromNumber(Result.kind()), Result.body());
   if (Result.finished()) {
@@ -65,35 +65,38 @@
     return finishTask();
   }
   if (!Holder.ParseFromString(Result.value()))
-    return refuse(error_kind::OutcomeUnknown, "the claim cannot be read");
+    return refuse(error_kind::OutcomeUnknown,
+                  "the stored claim cannot be decoded");
   if (Result.holder_alive())
     return refuse(error_kind::InProgress,
-                  "a request with this Idempotency-Key is under way");
+                  "a request with this Idempotency-Key is in progress");
   HolderValue = Result.value();
   Stage = stage::Resolving;
-  ResolveUntil = std::min(Facts.Deadline, steadySeconds() + ResolveSeconds);
+  ResolveUntil =
+      std::min(Facts.Deadline, steadySeconds() + ResolveTimeoutSeconds);
   resolve(steadySeconds());
 }
 
-std::optional<attempt_key> request_task::asksAbout() const {
+std::optional<attempt_key> request_task::queriedAttempt() const {
   if (Stage != stage::Resolving)
     return std::nullopt;
   return keyOf(Holder.id());
 }
 
-// Asks the sidecar that the attempt was meant for. If that start of it is
-// gone, nobody can tell any more whether the attempt had begun.
+// Asks the sidecar that the attempt was meant for to cancel it if it has not
+// started. Once that sidecar has restarted, nobody can tell whether the attempt
+// had started.
 void request_task::resolve(double Now) {
-  NextResolve = Now + ResolveAgainSeconds;
-  uint64_t Present = Context.Pool.incarnation(Holder.upstream());
-  bool Restarted = Present != 0 && Present != Holder.sidecar_incarnation();
-  if (Restarted && !Polled)
+  NextResolveAt = Now + ResolveIntervalSeconds;
+  uint64_t Current = Context.Pool.incarnation(Holder.upstream());
+  bool Restarted = Current != 0 && Current != Holder.sidecar_incarnation();
+  if (Restarted && !OutcomePolled)
     return pollOutcome();
   if (Restarted)
-    return upstreamGone();
+    return onHolderRestarted();
   if (Now >= ResolveUntil)
     return refuse(error_kind::OutcomeUnknown,
-                  "the upstream that had the request cannot be asked");
+                  "the upstream that received the request cannot be queried");
   wire::envelope Message;
   *Message.mutable_cancel()->mutable_id() = Holder.id();
   Message.mutable_cancel()->set_only_if_not_started(true);
@@ -104,16 +107,17 @@
 
 void request_task::onResolved(wire::cancel_result::cancel_progress Progress) {
   if (Progress == wire::cancel_result::NOT_STARTED) {
-    // It never will run: this request takes the claim over.
+    // The earlier attempt can no longer start: this request takes the claim.
     ClaimValue = HolderValue;
     return sendAttempt();
   }
-  if (Progress == wire::cancel_result::GONE && Polled)
-    return upstreamGone();
+  if (Progress == wire::cancel_result::GONE && OutcomePolled)
+    return onHolderRestarted();
   pollOutcome();
 }
 
-// It started: the sidecar stores the outcome at control when it ends.
+// The attempt has started: when it ends, the sidecar stores its outcome at
+// control.
 void request_task::pollOutcome() {
   if (PollPending)
     return;
@@ -126,18 +130,18 @@
   Claim->set_value(HolderValue);
   Claim->set_request_hash(checksum(Facts.Method + Facts.Path + Facts.Body));
   auto Self = shared_from_this();
-  Context.Control.ask(std::move(Message), ResolveSeconds,
+  Context.Control.ask(std::move(Message), ResolveTimeoutSeconds,
                       [this, Self](const wire::envelope *Answer) {
                         PollPending = false;
                         if (Stage != stage::Resolving || !Answer)
                           return;
-                        Polled = true;
+                        OutcomePolled = true;
                         if (Answer->claim_result().finished())
                           onClaimLost(Answer->claim_result());
                       });
 }
 
-void request_task::tellClaim(wire::finish Finish) {
+void request_task::sendClaimFinish(wire::finish Finish) {
   if (!claimed() || ClaimValue.empty())
     return;
   wire::claim_value Own;
@@ -147,35 +151,37 @@
   Message.mutable_finish()->set_account(Facts.Account);
   Message.mutable_finish()->set_key(Facts.Key);
   *Message.mutable_finish()->mutable_id() = Own.id();
-  Context.Control.ask(std::move(Message), ResolveSeconds,
+  Context.Control.ask(std::move(Message), ResolveTimeoutSeconds,
                       [](const wire::envelope *) {});
   ClaimValue.clear();
 }
 
 // The claimed attempt never started: the key may be used again.
-void request_task::freeClaim() {
+void request_task::releaseClaim() {
   wire::finish Finish;
   Finish.set_free(true);
-  tellClaim(std::move(Finish));
+  sendClaimFinish(std::move(Finish));
 }
 
-// This request ends without knowing: the next one with the key finds out.
-void request_task::leaveClaim() {
+// The request ends without a known outcome; the next request with the same key
+// resolves it.
+void request_task::abandonClaim() {
   wire::finish Finish;
   Finish.set_abandoned(true);
-  tellClaim(std::move(Finish));
+  sendClaimFinish(std::move(Finish));
 }
 
-// Nobody will ever know: so the next request hears the same at once.
-void request_task::upstreamGone() {
-  constexpr std::string_view What =
-      "the upstream restarted while the request was there";
+// The outcome can never be known. That is stored as the outcome, so that later
+// requests with the same key get the same error at once.
+void request_task::onHolderRestarted() {
+  constexpr std::string_view Reason =
+      "the upstream restarted while it had the request";
   ClaimValue = HolderValue;
   wire::finish Finish;
   Finish.set_kind(uint32_t(error_kind::OutcomeUnknown));
-  Finish.set_body(std::string(What));
-  tellClaim(std::move(Finish));
-  refuse(error_kind::OutcomeUnknown, std::string(What));
+  Finish.set_body(std::string(Reason));
+  sendClaimFinish(std::move(Finish));
+  refuse(error_kind::OutcomeUnknown, std::string(Reason));
 }
 
 } // namespace olivevalve
--- a/entry/request_task.cpp
+++ b/entry/request_task.cpp
@@ -1,4 +1,4 @@
-//===- request_task.cpp - One request from caller to answer ---------------===//
+//===- request_task.cpp - Processing of one caller request ----------------===//
 
 #include "entry/request_task.h"
 #include "base/clock.h"
@@ -10,20 +10,22 @@
 
 namespace {
 
-// A sidecar that did not say a word to an attempt in this time is passed by.
-constexpr double AcceptSeconds = 1.5;
-constexpr uint32_t MostTries = 4;
-// Frames of 16 KiB at most that may be under way to a slow caller.
-constexpr uint32_t FirstCredits = 32;
-// An answer that is not streamed is held whole before it is given.
-constexpr size_t MostAnswerBytes = 16 << 20;
-// After its deadline a request waits this long for the truth on "not run".
+// Time in which a sidecar must respond to an attempt before it counts as lost.
+constexpr double AcceptTimeoutSeconds = 1.5;
+constexpr uint32_t MaxAttempts = 4;
+// Frames, of at most 16 KiB each, that may be in flight to a slow caller.
+constexpr uint32_t InitialCredits = 32;
+// A response that is not streamed is buffered completely up to this size.
+constexpr size_t MaxAnswerBytes = 16 << 20;
+// Extra time after the deadline in which the sidecar can confirm that the
+// attempt was cancelled before it started.
 constexpr double DeadlineGraceSeconds = 0.25;
-// The rating between the halves of a cascade must not eat the caller's time.
-constexpr double CascadeRatingSeconds = 2;
-constexpr double LateRatingSeconds = 60;
+// Bounds the time that the rating between the two steps of a cascade adds to
+// the response.
+constexpr double CascadeRatingTimeoutSeconds = 2;
+constexpr double RatingTimeoutSeconds = 60;
 
-// A full queue says that the upstream is busy, not that it is ill.
+// A full queue shows that the upstream is busy, not that it is failing.
 bool opensBreaker(error_kind Kind) {
   return Kind == error_kind::EngineFailed || Kind == error_kind::NoUpstream;
 }
@@ -50,7 +52,7 @@
   if (!Facts.isChat())
     return run({});
   if (Facts.Session.empty())
-    return chooseFreely();
+    return chooseUnpinned();
   choosePinned();
 }
 
@@ -60,29 +62,31 @@
 
 void request_task::sendAttempt(const std::string &Chosen) {
   if (Context.Crashes.refuses(Facts.Identity)) {
-    freeClaim();
-    return refuse(error_kind::Quarantined, "upstreams end under this request");
+    releaseClaim();
+    return refuse(error_kind::Quarantined,
+                  "the request is quarantined: upstreams crashed while "
+                  "processing it");
   }
   Upstream = Chosen;
   if (Upstream.empty())
     Upstream = Context.Pool.choose(need(Version), Context.Control.config(),
                                    Context.Random);
   if (Upstream.empty()) {
-    freeClaim();
+    releaseClaim();
     return refuse(error_kind::NoUpstream,
-                  "no upstream takes work for " +
+                  "no upstream accepts requests for " +
                       (Facts.isChat() ? Version.text() : Facts.Service));
   }
-  ++Tries;
+  ++AttemptCount;
   Id.set_entry(Context.Incarnation);
   Id.set_request(Facts.Number);
-  Id.set_number(Tries);
+  Id.set_number(AttemptCount);
   Accepted = false;
-  MoveTo.clear();
+  MoveTarget.clear();
   NextSequence = 0;
   Answer.clear();
-  Streamed.clear();
-  SentTo = Context.Pool.incarnation(Upstream);
+  StreamedText.clear();
+  SidecarIncarnation = Context.Pool.incarnation(Upstream);
   Context.Pool.attemptStarted(Upstream);
   InFlight = true;
   if (claimed())
@@ -94,7 +98,7 @@
   wire::envelope Message;
   wire::attempt *Attempt = Message.mutable_attempt();
   *Attempt->mutable_id() = Id;
-  Attempt->set_sidecar_incarnation(SentTo);
+  Attempt->set_sidecar_incarnation(SidecarIncarnation);
   Attempt->set_config_index(Context.Control.config().index());
   Attempt->set_account(Facts.Account);
   Attempt->set_model(Version.Model);
@@ -102,10 +106,10 @@
   Attempt->set_method(Facts.Method);
   Attempt->set_path(Facts.Path);
   Attempt->set_content_type(Facts.ContentType);
-  double Left = std::max(0.001, Facts.Deadline - steadySeconds());
-  Attempt->set_budget_ms(uint32_t(Left * 1e3));
+  double Remaining = std::max(0.001, Facts.Deadline - steadySeconds());
+  Attempt->set_budget_ms(uint32_t(Remaining * 1e3));
   Attempt->set_priority(Facts.Priority);
-  Attempt->set_credits(FirstCredits);
+  Attempt->set_credits(InitialCredits);
   Attempt->set_repeatable(!claimed());
   Attempt->set_idempotency_key(Facts.Key);
   fillName(Facts.Identity, *Attempt->mutable_request());
@@ -123,8 +127,8 @@
 void request_task::dispatch() {
   Stage = stage::Sent;
   SentAt = steadySeconds();
-  // What was moved has not run.
-  if (Facts.isChat() && !std::exchange(Moved, false))
+  // A moved attempt did not run and has already been counted.
+  if (Facts.isChat() && !std::exchange(IsMove, false))
     Context.Rater.countExposure(Version);
   if (!Context.Pool.send(Upstream, makeAttempt()))
     retry(error_kind::NoUpstream, "no connection to " + Upstream, false);
@@ -142,7 +146,7 @@
   wire::envelope Message;
   *Message.mutable_cancel()->mutable_id() = Id;
   Message.mutable_cancel()->set_only_if_not_started(OnlyIfNotStarted);
-  Message.mutable_cancel()->set_sidecar_incarnation(SentTo);
+  Message.mutable_cancel()->set_sidecar_incarnation(SidecarIncarnation);
   Context.Pool.send(Upstream, Message);
 }
 
@@ -168,35 +172,36 @@
   }
 }
 
-// The choice was made on news that was old; now the sidecar has said what is
-// true there. If the request would wait while another upstream seems free, it
-// is taken back, which the sidecar grants only if it has not started.
+// The upstream was chosen by a load report that may be out of date; the message
+// `accepted` carries its present load. If the request would have to queue while
+// another upstream seems free, its cancellation is requested; the sidecar
+// grants that only if the attempt has not started.
 void request_task::onAccepted(const wire::accepted &Answer) {
   Accepted = true;
-  Context.Pool.noteLoad(Upstream, Answer.running(), Answer.queued());
-  bool May = !Answer.started() && !claimed() && Moves < MostMoves &&
-             !DeadlineCancelSent;
-  if (!May)
+  Context.Pool.updateLoad(Upstream, Answer.running(), Answer.queued());
+  bool CanMove = !Answer.started() && !claimed() && MoveCount < MostMoves &&
+                 !DeadlineCancelSent;
+  if (!CanMove)
     return;
-  MoveTo = Context.Pool.chooseFree(need(Version), Upstream,
-                                   Context.Control.config(), Context.Random);
-  if (!MoveTo.empty())
+  MoveTarget = Context.Pool.chooseIdle(
+      need(Version), Upstream, Context.Control.config(), Context.Random);
+  if (!MoveTarget.empty())
     cancelAttempt(true);
 }
 
-void request_task::moveOn() {
-  ++Moves;
+void request_task::resendMoved() {
+  ++MoveCount;
   Context.Metrics.count("moves", Facts.Account);
   endAttempt();
-  Moved = true;
-  sendAttempt(std::exchange(MoveTo, {}));
+  IsMove = true;
+  sendAttempt(std::exchange(MoveTarget, {}));
 }
 
 void request_task::onRefused(const wire::refused &Refused) {
   error_kind Kind = kindFromNumber(Refused.kind());
   if (DeadlineCancelSent) {
     endAttempt();
-    freeClaim();
+    releaseClaim();
     return refuse(error_kind::DeadlineExceeded, "the deadline has passed");
   }
   if (opensBreaker(Kind))
@@ -204,22 +209,23 @@
   retry(Kind, Refused.message(), needsBudget(Kind));
 }
 
-// Only called when the attempt is known not to have run, or may run again.
+// Called only if the attempt certainly did not run, or may run again.
 void request_task::retry(error_kind Kind, const std::string &Message,
                          bool UsesBudget) {
   endAttempt();
   Tried.insert(Upstream);
   bool InTime = steadySeconds() < Facts.Deadline;
-  bool MayChoose = Facts.isChat() && !claimed() && !OnSecond && InTime;
+  bool MayChoose = Facts.isChat() && !claimed() && !Escalated && InTime;
   if (Kind == error_kind::VersionWithdrawn && MayChoose && chooseAnother())
     return;
-  bool May = answerFor(Kind).TryElsewhere || Kind == error_kind::NoUpstream;
-  if (May && InTime && Tries - uint32_t(Moves) < MostTries &&
+  bool CanRetry =
+      answerFor(Kind).TryElsewhere || Kind == error_kind::NoUpstream;
+  if (CanRetry && InTime && AttemptCount - uint32_t(MoveCount) < MaxAttempts &&
       (!UsesBudget || Context.Retries.take())) {
     Context.Metrics.count("retries", answerFor(Kind).Code);
     return sendAttempt();
   }
-  freeClaim();
+  releaseClaim();
   refuse(Kind, Message);
 }
 
@@ -229,10 +235,10 @@
 }
 
 void request_task::onFrame(const wire::frame &Frame) {
-  // A gap, a double or a crossing: the rest cannot be trusted.
+  // A missing, repeated or reordered frame: the remaining ones are unusable.
   if (Frame.sequence() != NextSequence)
-    return attemptFailed(error_kind::EngineFailed, "a part of the answer is "
-                                                   "missing");
+    return attemptFailed(error_kind::EngineFailed,
+                         "a frame of the answer is missing");
   ++NextSequence;
   double Now = steadySeconds();
   if (FirstFrameAt == 0) {
@@ -244,7 +250,7 @@
   LastFrameAt = Now;
   bool Stream = Facts.isChat() && Facts.Chat.Stream && Status == 200;
   if (!Stream) {
-    if (Answer.size() + Frame.data().size() > MostAnswerBytes) {
+    if (Answer.size() + Frame.data().size() > MaxAnswerBytes) {
       cancelAttempt(false);
       endAttempt();
       return refuse(error_kind::AnswerTooLarge,
@@ -260,7 +266,7 @@
     return;
   }
   if (Context.Rater.enabled())
-    Streamed.feed(Frame.data());
+    StreamedText.feed(Frame.data());
   if (!Streaming) {
     Streaming = true;
     std::weak_ptr<request_task> Weak = shared_from_this();
@@ -279,29 +285,29 @@
 }
 
 void request_task::onEnd(const wire::end &End) {
-  Context.Pool.noteLoad(Upstream, End.running(), End.queued());
+  Context.Pool.updateLoad(Upstream, End.running(), End.queued());
   error_kind Kind = kindFromNumber(End.kind());
   if (Kind != error_kind::None)
     return attemptFailed(Kind, End.message());
   if (End.frames() != NextSequence)
     return attemptFailed(error_kind::EngineFailed,
                          "the end of the answer is missing");
-  ClaimValue.clear(); // The sidecar stores the outcome.
+  ClaimValue.clear(); // The sidecar stores the outcome at control.
   Context.Pool.succeeded(Upstream);
   endAttempt();
-  answered(End.usage());
+  onAnswerComplete(End.usage());
 }
 
-// The sidecar keeps a bill of its own until it hears what became of it.
-void request_task::voidBill() {
+// The sidecar holds a copy of the bill until the entry settles it.
+void request_task::sendNothingDue() {
   wire::envelope Message;
   *Message.mutable_settle()->mutable_id() = Id;
   Message.mutable_settle()->set_nothing_due(true);
   Context.Pool.send(Upstream, Message);
 }
 
-// The attempt may have run. A claimed one must not run again; for others the
-// only question is whether the caller has seen a part of the answer.
+// The attempt may have run. If it is claimed, it must not run again. Otherwise
+// it may, unless a part of the response has already been sent to the caller.
 void request_task::attemptFailed(error_kind Kind, const std::string &Message) {
   Context.Pool.failed(Upstream);
   if (Facts.isChat())
@@ -326,13 +332,14 @@
   if (!claimed())
     return attemptFailed(error_kind::EngineFailed,
                          "the connection to the upstream broke");
-  // What became of it must be found out before anything is said.
+  // The outcome must be resolved before the caller gets any response.
   endAttempt();
   HolderValue = ClaimValue;
   Holder.ParseFromString(ClaimValue);
   Stage = stage::Resolving;
-  ResolveUntil = std::min(Facts.Deadline, steadySeconds() + ResolveSeconds);
-  NextResolve = steadySeconds() + ResolveAgainSeconds;
+  ResolveUntil =
+      std::min(Facts.Deadline, steadySeconds() + ResolveTimeoutSeconds);
+  NextResolveAt = steadySeconds() + ResolveIntervalSeconds;
 }
 
 void request_task::onCancelResult(const wire::cancel_result &Result) {
@@ -340,15 +347,15 @@
     return onResolved(Result.progress());
   bool Own = Stage == stage::Sent && keyOf(Result.id()) == keyOf(Id);
   bool NotStarted = Result.progress() == wire::cancel_result::NOT_STARTED;
-  if (Own && NotStarted && !MoveTo.empty() && !DeadlineCancelSent)
-    return moveOn();
+  if (Own && NotStarted && !MoveTarget.empty() && !DeadlineCancelSent)
+    return resendMoved();
   if (!Own || !DeadlineCancelSent)
     return;
   endAttempt();
   if (!NotStarted)
     return refuse(error_kind::DeadlineUnknown,
                   "the deadline has passed; the request had started");
-  freeClaim();
+  releaseClaim();
   refuse(error_kind::DeadlineExceeded, "the deadline has passed");
 }
 
@@ -362,10 +369,12 @@
     return refuse(error_kind::DeadlineExceeded, "the deadline has passed");
   if (Stage == stage::Resolving)
     return refuse(error_kind::OutcomeUnknown,
-                  "the deadline has passed before the outcome was known");
+                  "the deadline has passed while the outcome was unknown");
   if (Stage == stage::Claiming) {
-    // No attempt has left; the claim is freed, or nobody can ever win by it.
-    freeClaim();
+    // No attempt has been sent, so the request certainly did not run. If the
+    // release does not reach control, the next request with the same key learns
+    // from the sidecar that the attempt never started.
+    releaseClaim();
     return refuse(error_kind::DeadlineExceeded, "the deadline has passed");
   }
   if (!DeadlineCancelSent) {
@@ -374,7 +383,7 @@
   }
   endAttempt();
   refuse(error_kind::DeadlineUnknown,
-         "the deadline has passed and the upstream does not answer");
+         "the deadline has passed and the upstream does not respond");
 }
 
 void request_task::tick(double Now) {
@@ -384,11 +393,11 @@
       Facts.Deadline + (DeadlineCancelSent ? DeadlineGraceSeconds : 0.0);
   if (Now >= Limit)
     return onDeadline();
-  if (Stage == stage::Resolving && Now >= NextResolve)
+  if (Stage == stage::Resolving && Now >= NextResolveAt)
     return resolve(Now);
-  bool Unheard = Stage == stage::Sent && !Accepted && FirstFrameAt == 0 &&
-                 Now > SentAt + AcceptSeconds;
-  if (Unheard)
+  bool Unanswered = Stage == stage::Sent && !Accepted && FirstFrameAt == 0 &&
+                    Now > SentAt + AcceptTimeoutSeconds;
+  if (Unanswered)
     onLost(Upstream);
 }
 
@@ -396,11 +405,12 @@
   if (Stage == stage::Over)
     return;
   Context.Metrics.count("callers_gone", Facts.Account);
-  // What may run only once goes on: the caller will ask for its outcome.
+  // A claimed attempt that has started goes on: the caller can request its
+  // outcome later.
   cancelAttempt(claimed());
-  leaveClaim();
+  abandonClaim();
   if (Stage == stage::Answered)
-    voidBill();
+    sendNothingDue();
   endAttempt();
   finishTask();
 }
@@ -417,15 +427,15 @@
 }
 
 rated_answer request_task::rateRequest(uint64_t Micros) const {
-  rated_answer Ask = ratedAnswer(Version);
-  Ask.Question =
+  rated_answer ToRate = ratedAnswer(Version);
+  ToRate.Question =
       Facts.Chat.Body.dump(-1, ' ', false, json::error_handler_t::replace);
-  Ask.Answer = Streaming ? Streamed.text() : textOfAnswer(Answer);
-  Ask.Cost = double(Micros) * 1e-6;
-  return Ask;
+  ToRate.Answer = Streaming ? StreamedText.text() : textOfAnswer(Answer);
+  ToRate.Cost = double(Micros) * 1e-6;
+  return ToRate;
 }
 
-void request_task::answered(const wire::usage &Usage) {
+void request_task::onAnswerComplete(const wire::usage &Usage) {
   wire::bill_item *Item = Bill.add_items();
   Item->set_model(Facts.isChat() ? Version.Model : Facts.Service);
   Item->set_version(Version.Version);
@@ -434,54 +444,55 @@
   Item->set_cost_micros(Spec ? costMicros(*Spec, Usage) : 0);
   CostMicros += Item->cost_micros();
   bool Rated = Facts.isChat() && Status == 200 && Context.Rater.enabled();
-  if (Rated && Arm.isCascade() && !OnSecond)
-    return rateFirst();
+  if (Rated && Arm.isCascade() && !Escalated)
+    return rateFirstAnswer();
   if (Rated) {
-    rated_answer Ask = rateRequest(Item->cost_micros());
+    rated_answer ToRate = rateRequest(Item->cost_micros());
     auto Self = shared_from_this();
     bool WasCascade = Arm.isCascade();
-    Context.Rater.rate(Ask, LateRatingSeconds,
-                       [Self, Ask, WasCascade](std::optional<double> Score) {
+    Context.Rater.rate(ToRate, RatingTimeoutSeconds,
+                       [Self, ToRate, WasCascade](std::optional<double> Score) {
                          if (!WasCascade || !Score)
                            return;
-                         rated_answer Whole = Ask;
-                         Whole.Cost = double(Self->CostMicros) * 1e-6;
-                         Self->Context.Rater.reportArm(Whole, Self->Arm,
-                                                       *Score);
+                         rated_answer Total = ToRate;
+                         Total.Cost = double(Self->CostMicros) * 1e-6;
+                         Self->Context.Rater.reportCascade(Total, Self->Arm,
+                                                           *Score);
                        });
   }
   deliver();
 }
 
-// Between the halves of a cascade: a good first answer ends it.
-void request_task::rateFirst() {
+// Rates the first answer of a cascade and delivers it if it is good enough.
+void request_task::rateFirstAnswer() {
   Stage = stage::Rating;
-  rated_answer Ask = rateRequest(CostMicros);
+  rated_answer ToRate = rateRequest(CostMicros);
   double Threshold = escalationThreshold(
       {.QualityTarget = Facts.QualityTarget, .Policy = Facts.Policy});
-  double Left = Facts.Deadline - steadySeconds();
+  double Remaining = Facts.Deadline - steadySeconds();
   auto Self = shared_from_this();
-  Context.Rater.rate(Ask,
-                     std::min(CascadeRatingSeconds, std::max(0.01, Left / 2)),
-                     [this, Self, Ask, Threshold](std::optional<double> Score) {
-                       if (Stage != stage::Rating)
-                         return;
-                       if (!Score || *Score >= Threshold) {
-                         if (Score)
-                           Context.Rater.reportArm(Ask, Arm, *Score);
-                         return deliver();
-                       }
-                       OnSecond = true;
-                       FirstAnswer = Answer;
-                       FirstFrameAt = 0;
-                       run(Arm.Second);
-                     });
+  Context.Rater.rate(
+      ToRate,
+      std::min(CascadeRatingTimeoutSeconds, std::max(0.01, Remaining / 2)),
+      [this, Self, ToRate, Threshold](std::optional<double> Score) {
+        if (Stage != stage::Rating)
+          return;
+        if (!Score || *Score >= Threshold) {
+          if (Score)
+            Context.Rater.reportCascade(ToRate, Arm, *Score);
+          return deliver();
+        }
+        Escalated = true;
+        FirstAnswer = Answer;
+        FirstFrameAt = 0;
+        run(Arm.Second);
+      });
 }
 
 void request_task::deliver() {
   Stage = stage::Answered;
   auto Self = shared_from_this();
-  Exchange->OnComplete = [this, Self] { noteCompleted(); };
+  Exchange->OnComplete = [this, Self] { onDelivered(); };
   if (Streaming)
     return Exchange->finish();
   std::string Body = std::move(Answer);
@@ -497,8 +508,8 @@
   Context.Metrics.record(Measure, priorityClass(Facts.Priority), Value);
 }
 
-// The caller has all of it: now, and only now, it is billed.
-void request_task::noteCompleted() {
+// The caller has received the complete response; only now is it billed.
+void request_task::onDelivered() {
   if (Stage == stage::Over)
     return;
   Context.Outbox.add(Bill);
@@ -530,8 +541,8 @@
   return Headers;
 }
 
-// The last attempt may be known not to have run; the one before it need not.
-error_kind request_task::truthful(error_kind Kind) const {
+// The last attempt certainly did not run, but an earlier one may have.
+error_kind request_task::kindToReport(error_kind Kind) const {
   if (!MayHaveRun || answerFor(Kind).Outcome != outcome::NotRun)
     return Kind;
   return Kind == error_kind::DeadlineExceeded ? error_kind::DeadlineUnknown
@@ -539,9 +550,9 @@
 }
 
 void request_task::refuse(error_kind Kind, const std::string &Message) {
-  Kind = truthful(Kind);
-  // A cascade that cannot go on still has its first answer.
-  if (OnSecond && !FirstAnswer.empty()) {
+  Kind = kindToReport(Kind);
+  // A cascade whose second step fails still has its first answer.
+  if (Escalated && !FirstAnswer.empty()) {
     Answer = std::move(FirstAnswer);
     FirstAnswer.clear();
     Version = Arm.First;
@@ -550,7 +561,7 @@
   }
   const error_answer &Reply = answerFor(Kind);
   if (Reply.Outcome == outcome::Unknown)
-    leaveClaim();
+    abandonClaim();
   Context.Metrics.count("errors", Reply.Code);
   logLine(log_level::Info, "request refused",
           {{"request_id", Facts.Id},
--- a/entry/request_task.h
+++ b/entry/request_task.h
@@ -1,8 +1,10 @@
-//===- request_task.h - One request from caller to answer -------*- C++ -*-===//
+//===- request_task.h - Processing of one caller request --------*- C++ -*-===//
 //
-// Pins the session, chooses version and upstream, claims what may run only
-// once, sends attempts, passes the answer on, and bills it when the caller has
-// it whole. A refusal says "not run" only when that is known.
+// A request_task pins the request's session, chooses a version and an upstream,
+// claims the Idempotency-Key of a request that may run only once, sends
+// attempts to sidecars, passes the response on to the caller, and bills it once
+// the caller has received it completely. An error response says "not run" only
+// if that is certain.
 //
 //===----------------------------------------------------------------------===//
 
@@ -28,7 +30,7 @@
 
 namespace olivevalve {
 
-/// What all requests of an entry share.
+/// State that all requests of an entry share.
 struct entry_context {
   uint64_t Incarnation = 0;
   control_client &Control;
@@ -39,88 +41,99 @@
   metrics &Metrics;
   estimates &Estimates;
   prepared_choices &Prepared;
-  std::map<version_name, double> &Allowances; ///< Of rolling versions.
+  /// Answers that versions in a roll-out may still give here.
+  std::map<version_name, double> &Allowances;
   retry_budget &Retries;
   std::mt19937_64 &Random;
   crash_reports &Crashes;
 };
 
-/// What the entry found out before the request began.
+/// What the entry has found out about a request before its task begins.
 struct request_facts {
-  uint64_t Number = 0; ///< The entry's request counter.
-  std::string Id;      ///< Shown to the caller.
-  std::string Account;
+  uint64_t Number = 0; ///< Unique within this incarnation of the entry.
+  std::string Id;      ///< Sent to the caller as X-Request-Id.
+  std::string Account; ///< The client account.
   std::string Method;
   std::string Path;
   std::string ContentType;
-  std::string Body;    ///< Plain services.
-  std::string Service; ///< Empty: a chat request.
+  /// Sent to plain services. Of a chat request it is kept only for the hash of
+  /// a request with an Idempotency-Key; the upstream gets Chat.
+  std::string Body;
+  std::string Service; ///< The plain service; empty: a chat request.
   chat_request Chat;
-  std::string Template; ///< Template, model or version as named.
+  std::string Template; ///< Template, model or version, as the caller wrote it.
+  /// Versions that may answer and that the client account may use.
   std::vector<version_name> Candidates;
   version_policy Policy;
-  double QualityTarget = 0.8;
-  uint32_t Priority = 1;
-  std::string Session;
-  short_digest Identity{}; ///< The same for each try by its caller.
-  std::string Key; ///< Idempotency-Key; under one the request runs once.
-  double Arrived = 0;
-  double Deadline = 0;
+  double QualityTarget = 0.8; ///< Expected rating, 0 to 1.
+  uint32_t Priority = 1;      ///< 0 is the most urgent.
+  std::string Session;        ///< Empty: no session.
+  short_digest Identity{};    ///< Equal for all tries of it by its caller.
+  /// Idempotency-Key; empty: the request may run more than once.
+  std::string Key;
+  double Arrived = 0;  ///< By steadySeconds().
+  double Deadline = 0; ///< By steadySeconds().
   bool isChat() const { return Service.empty(); }
 };
 
-/// How long, and how often, an entry asks what became of a claimed attempt.
-constexpr double ResolveSeconds = 6;
-constexpr double ResolveAgainSeconds = 0.3;
+/// How long an entry tries to find out what became of a claimed attempt.
+constexpr double ResolveTimeoutSeconds = 6;
+/// Interval between the queries during that time.
+constexpr double ResolveIntervalSeconds = 0.3;
 
+/// One request, from its arrival to the end of its response.
 class request_task : public std::enable_shared_from_this<request_task> {
 public:
   request_task(entry_context &Context, std::shared_ptr<http_exchange> Exchange,
                request_facts Facts);
 
   void begin();
-  /// A message about one of this request's attempts.
+  /// Takes a message about an attempt of this request, or the reply to a query
+  /// about the attempt that holds its claim.
   void onMessage(const std::string &Upstream, const wire::envelope &Message);
+  /// The upstream's sidecar restarted, disconnected or does not respond.
   void onLost(const std::string &Upstream);
   void onCallerGone();
   void tick(double Now);
   bool over() const { return Stage == stage::Over; }
-  /// True if \p Other is the attempt that runs now.
+  /// True if \p Other is the current attempt.
   bool owns(const wire::attempt_id &Other) const {
     return keyOf(Other) == keyOf(Id);
   }
   const request_facts &facts() const { return Facts; }
-  /// The attempt of another entry that this request asks about.
-  std::optional<attempt_key> asksAbout() const;
+  /// The attempt that holds this request's claim, while its sidecar is being
+  /// queried about it. It may belong to another request, of any entry.
+  std::optional<attempt_key> queriedAttempt() const;
 
 private:
   enum class stage : uint8_t {
-    Choosing,  ///< Version, session pin.
-    Claiming,  ///< Waiting for control.
+    Choosing,  ///< Choosing a version or waiting for the session's pin.
+    Claiming,  ///< Waiting for control's decision on the claim.
     Resolving, ///< Finding out what became of an earlier attempt.
-    Sent,      ///< At a sidecar.
-    Rating,    ///< Between the halves of a cascade.
-    Answered,  ///< All handed to the caller, perhaps not yet taken.
+    Sent,      ///< An attempt is at a sidecar.
+    Rating,    ///< Waiting for the rating of a cascade's first answer.
+    Answered,  ///< The response is written but may not be received completely.
     Over
   };
 
   std::vector<version_candidate> candidates() const;
   std::vector<version_candidate> candidates(bool WithStopped,
-                                            trust Trust) const;
+                                            breaker_policy Breakers) const;
   bool versionUsable(const version_name &Name, bool Pinned) const;
-  /// The guard has ended the version for this template or account.
-  bool stoppedHere(const version_name &Name) const;
+  /// True if the roll-out guard has stopped the version for this request's
+  /// template or client account.
+  bool isStopped(const version_name &Name) const;
   upstream_need need(const version_name &Version) const;
   double priorCost(const version_spec &Spec) const;
   std::optional<choice_answer> choose(bool MayCascade);
   bool chooseAnother();
-  void chooseFreely();
+  void chooseUnpinned();
   void choosePinned();
   void pin(const version_name &Wanted,
            const std::optional<version_name> &Replaces);
   void run(const version_name &Version);
 
-  /// To \p Chosen, or to an upstream that is chosen now.
+  /// Sends an attempt to \p Chosen; empty: to an upstream that is chosen here.
   void sendAttempt(const std::string &Chosen = {});
   wire::envelope makeAttempt() const;
   void claim();
@@ -128,16 +141,16 @@
   void onClaimLost(const wire::claim_result &Result);
   void resolve(double Now);
   void onResolved(wire::cancel_result::cancel_progress Progress);
-  void tellClaim(wire::finish Finish);
-  void freeClaim();
-  void leaveClaim();
-  void upstreamGone();
-  void voidBill();
+  void sendClaimFinish(wire::finish Finish);
+  void releaseClaim();
+  void abandonClaim();
+  void onHolderRestarted();
+  void sendNothingDue();
   void pollOutcome();
   void dispatch();
 
   void onAccepted(const wire::accepted &Accepted);
-  void moveOn();
+  void resendMoved();
   void onRefused(const wire::refused &Refused);
   void onHead(const wire::head &Head);
   void onFrame(const wire::frame &Frame);
@@ -149,18 +162,21 @@
   void cancelAttempt(bool OnlyIfNotStarted);
   void onDeadline();
 
-  void answered(const wire::usage &Usage);
-  void rateFirst();
+  void onAnswerComplete(const wire::usage &Usage);
+  void rateFirstAnswer();
   void deliver();
-  void noteCompleted();
-  /// Adds to the histograms of the client account and of the priority class.
+  void onDelivered();
+  /// Records \p Value for the client account and for the priority class.
   void record(measure Measure, double Value) const;
   std::vector<head_line> headers() const;
-  error_kind truthful(error_kind Kind) const;
+  /// The error to report: weakened to one with an unknown outcome if \p Kind
+  /// says "not run" but an earlier attempt may have run.
+  error_kind kindToReport(error_kind Kind) const;
   void refuse(error_kind Kind, const std::string &Message);
   void finishTask();
   rated_answer ratedAnswer(const version_name &Version) const;
-  /// The same with question and answer, for the rating service.
+  /// Like ratedAnswer(), with question and answer for the rating service and
+  /// a cost of \p Micros millionths of a price unit.
   rated_answer rateRequest(uint64_t Micros) const;
   bool claimed() const { return !Facts.Key.empty(); }
 
@@ -170,41 +186,47 @@
   stage Stage = stage::Choosing;
 
   arm Arm;
-  bool OnSecond = false; ///< The cascade has gone to its second version.
-  version_name Version;  ///< That runs now; Model empty for a service.
+  bool Escalated = false; ///< The cascade has gone on to its second version.
+  version_name Version;   ///< In use now; Model is empty for a plain service.
   std::string Upstream;
-  uint64_t SentTo = 0; ///< Incarnation of the sidecar chosen.
-  std::set<std::string> Tried;
+  uint64_t SidecarIncarnation =
+      0; ///< Of the sidecar that the attempt is meant for.
+  std::set<std::string> Tried; ///< Upstreams not to be chosen again.
   wire::attempt_id Id;
-  uint32_t Tries = 0;
-  std::set<version_name> Withdrawn; ///< By the word of a sidecar.
-  int PinTries = 0;
-  bool InFlight = false;   ///< Counted at the pool.
-  bool MayHaveRun = false; ///< An earlier attempt started, or may have.
+  uint32_t AttemptCount = 0;
+  std::set<version_name> Withdrawn; ///< Reported as withdrawn by a sidecar.
+  int PinAttempts = 0;
+  bool InFlight = false;   ///< The pool counts the attempt as in flight.
+  bool MayHaveRun = false; ///< An earlier attempt may have started.
   bool Accepted = false;
-  int Moves = 0;      ///< To another upstream, before work had started.
-  std::string MoveTo; ///< Asked for; empty: not asked.
-  bool Moved = false; ///< The attempt that goes out now is a move.
+  /// How often the request was moved to another upstream before it started.
+  int MoveCount = 0;
+  /// Upstream to move to once the sidecar has cancelled the attempt; empty: no
+  /// move has been requested.
+  std::string MoveTarget;
+  bool IsMove = false; ///< The attempt being sent is a move.
   double SentAt = 0;
   double FirstFrameAt = 0;
   double LastFrameAt = 0;
   uint32_t NextSequence = 0;
   int Status = 0;
   std::string ContentType;
-  bool Streaming = false;  ///< Bytes have gone to the caller.
-  std::string Answer;      ///< Not streamed: all of it.
-  answer_text Streamed;    ///< Streamed: its text, for the rating service.
-  std::string FirstAnswer; ///< Of a cascade's first version.
+  bool Streaming = false; ///< A streamed response to the caller has begun.
+  std::string Answer;     ///< Complete body of a response that is not streamed.
+  answer_text StreamedText; ///< Text of a streamed response, for the rating.
+  std::string FirstAnswer;  ///< Answer of a cascade's first version.
   wire::bill Bill;
   uint64_t CostMicros = 0;
 
-  std::string ClaimValue;   ///< That stands for this request.
-  wire::claim_value Holder; ///< Someone's attempt that is asked about.
+  std::string ClaimValue; ///< This request's claim at control; empty: none.
+  /// The attempt that holds the claim and is being resolved.
+  wire::claim_value Holder;
   std::string HolderValue;
   double ResolveUntil = 0;
-  double NextResolve = 0;
+  double NextResolveAt = 0;
   bool PollPending = false;
-  bool Polled = false; ///< Control has said that no outcome is stored.
+  /// Control has been polled while resolving and holds no outcome.
+  bool OutcomePolled = false;
   bool DeadlineCancelSent = false;
 };
 
--- a/entry/sessions.cpp
+++ b/entry/sessions.cpp
@@ -1,4 +1,4 @@
-//===- sessions.cpp - Sessions keep their version -------------------------===//
+//===- sessions.cpp - Versions that sessions are pinned to ----------------===//
 
 #include "entry/sessions.h"
 #include "base/clock.h"
@@ -7,29 +7,30 @@
 
 namespace {
 
-// After this a pin is asked for again, which also keeps it alive at control;
-// an hour without that ends it there.
-constexpr double KnownSeconds = 600;
-// Pins kept; the oldest are asked for again when needed.
-constexpr size_t MostPins = 100000;
-constexpr double AskSeconds = 4;
+// A cached pin is renewed at control after this time. The renewal also keeps it
+// alive there, where a pin expires after an hour without one.
+constexpr double CacheSeconds = 600;
+// Bounds the cache; the oldest pins are dropped and queried again on demand.
+constexpr size_t MaxCachedPins = 100000;
+constexpr double RequestTimeoutSeconds = 4;
 
 } // namespace
 
 void sessions::expire(double Now) {
-  while (!Order.empty()) {
-    auto It = Pins.find(Order.front());
-    bool Fresh = It != Pins.end() && Now < It->second.At + KnownSeconds &&
-                 Pins.size() <= MostPins;
+  while (!InsertionOrder.empty()) {
+    auto It = Pins.find(InsertionOrder.front());
+    bool Fresh = It != Pins.end() &&
+                 Now < It->second.ConfirmedAt + CacheSeconds &&
+                 Pins.size() <= MaxCachedPins;
     if (Fresh)
       return;
     if (It != Pins.end())
       Pins.erase(It);
-    Order.pop_front();
+    InsertionOrder.pop_front();
   }
 }
 
-std::optional<version_name> sessions::known(const session_key &Key) {
+std::optional<version_name> sessions::cachedPin(const session_key &Key) {
   expire(steadySeconds());
   auto It = Pins.find(Key);
   if (It == Pins.end())
@@ -48,16 +49,16 @@
   Claim->set_value(Wanted.text());
   if (Replaces)
     Claim->set_replaces(Replaces->text());
-  Control.ask(std::move(Message), AskSeconds,
+  Control.ask(std::move(Message), RequestTimeoutSeconds,
               [this, Key, Done = std::move(Done)](const wire::envelope *A) {
                 if (!A || !A->has_claim_result())
                   return Done(std::nullopt);
-                version_name Stands =
+                version_name Committed =
                     parseVersionName(A->claim_result().value());
                 if (!Pins.contains(Key))
-                  Order.push_back(Key);
-                Pins[Key] = {Stands, steadySeconds()};
-                Done(Stands);
+                  InsertionOrder.push_back(Key);
+                Pins[Key] = {Committed, steadySeconds()};
+                Done(Committed);
               });
 }
 
--- a/entry/sessions.h
+++ b/entry/sessions.h
@@ -1,7 +1,7 @@
-//===- sessions.h - Sessions keep their version -----------------*- C++ -*-===//
+//===- sessions.h - Versions that sessions are pinned to --------*- C++ -*-===//
 //
-// The version a session is pinned to, decided by control for all entries and
-// kept here for a while, so that most requests of a session ask nobody.
+// Control decides for all entries which version a session is pinned to. The
+// entry caches the pin, so that most requests of a session need no query.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,22 +17,25 @@
 
 namespace olivevalve {
 
-/// One session of one client account under one model or template.
+/// A session of one client account under one model or template.
 struct session_key {
   std::string Account;
   std::string Session;
-  std::string Model; ///< As the caller named it.
+  std::string Model; ///< Model, template or version, as the caller wrote it.
   auto operator<=>(const session_key &) const = default;
 };
 
+/// Cache of the pins that control has committed.
 class sessions {
 public:
   explicit sessions(control_client &Control) : Control(Control) {}
 
-  /// The pin known here, if any.
-  std::optional<version_name> known(const session_key &Key);
-  /// Proposes \p Wanted; \p Done gets the version that stands, or nothing when
-  /// control could not be reached. \p Replaces is a pin that ended.
+  /// The cached pin; empty: none.
+  std::optional<version_name> cachedPin(const session_key &Key);
+  /// Proposes to control to pin the session to \p Wanted. \p Done gets the
+  /// version that control has committed, which may be another one, or nothing
+  /// if control did not respond. \p Replaces is an unusable pin that may be
+  /// overwritten.
   void pin(const session_key &Key, const version_name &Wanted,
            const std::optional<version_name> &Replaces,
            std::function<void(std::optional<version_name>)> Done);
@@ -41,13 +44,13 @@
 private:
   struct pin_record {
     version_name Version;
-    double At = 0;
+    double ConfirmedAt = 0; ///< When control confirmed it.
   };
   void expire(double Now);
 
   control_client &Control;
   std::map<session_key, pin_record> Pins;
-  std::deque<session_key> Order;
+  std::deque<session_key> InsertionOrder; ///< Oldest first.
 };
 
 } // namespace olivevalve
--- a/entry/upstream_pool.cpp
+++ b/entry/upstream_pool.cpp
@@ -1,4 +1,4 @@
-//===- upstream_pool.cpp - The upstreams an entry talks to ----------------===//
+//===- upstream_pool.cpp - Upstreams that an entry uses -------------------===//
 
 #include "entry/upstream_pool.h"
 #include "base/clock.h"
@@ -12,17 +12,18 @@
 namespace {
 
 constexpr double TickSeconds = 0.5;
-// A sidecar that has nothing new is asked so often; well before it forgets the
-// entry. An attempt finds a lost sidecar sooner, in 1.5 s.
-constexpr double HelloSeconds = 10;
-// Silent for this long it is taken for lost: an asking, and some seconds for an
-// answer that a busy VM or a lossy link delays.
+// Interval at which a report is requested from a sidecar that sends none by
+// itself; well below the time after which a sidecar forgets the entry. An
+// attempt detects a lost sidecar sooner, in 1.5 s.
+constexpr double HelloIntervalSeconds = 10;
+// A sidecar that has been silent this long counts as lost: one hello interval
+// plus some seconds for a reply that a busy VM or a lossy link delays.
 constexpr double SilentSeconds = 14;
-// The same while it has work of this entry.
-constexpr double BusyHelloSeconds = 1.5;
+// The same two bounds while the sidecar has attempts of this entry.
+constexpr double BusyHelloIntervalSeconds = 1.5;
 constexpr double BusySilentSeconds = 3.5;
-// A new entry waits so long for upstreams that do not answer, no longer.
-constexpr double AcquaintSeconds = 3;
+// Upper bound on a new entry's wait for the first reports.
+constexpr double InitialReportSeconds = 3;
 } // namespace
 
 upstream_pool::upstream_pool(link_context &Context, struct ev_loop *Loop,
@@ -35,9 +36,9 @@
   Timer.startRepeating(TickSeconds);
 }
 
-// For each version and service a part of its upstreams.
-std::set<std::string> upstream_pool::wanted(const catalog &Config,
-                                            size_t Entries) const {
+// Selects a subset of the upstreams of each version and each service.
+std::set<std::string> upstream_pool::selectSubset(const catalog &Config,
+                                                  size_t Entries) const {
   std::map<std::string, std::vector<subset_replica>> Groups;
   Config.forEach<upstream_spec>([&](const upstream_spec &Spec) {
     subset_replica Replica{Spec.Name, Spec.DataHall == Options.DataHall};
@@ -56,7 +57,7 @@
 }
 
 void upstream_pool::configure(const catalog &Config, size_t Entries) {
-  std::set<std::string> Names = wanted(Config, Entries);
+  std::set<std::string> Names = selectSubset(Config, Entries);
   for (auto It = Members.begin(); It != Members.end();) {
     const upstream_spec *Spec = Config.upstream(It->first);
     bool Keep = Spec && Spec->Address == It->second.Address &&
@@ -74,8 +75,8 @@
 }
 
 void upstream_pool::open(const std::string &Name, const std::string &Address) {
-  if (FirstOpened == 0)
-    FirstOpened = steadySeconds();
+  if (FirstOpenedAt == 0)
+    FirstOpenedAt = steadySeconds();
   member &Member = Members[Name];
   Member.Address = Address;
   Member.Link = std::make_unique<client_link>(
@@ -85,18 +86,18 @@
     auto It = Members.find(Name);
     if (It == Members.end())
       return;
-    It->second.HeardAt = 0;
+    It->second.LastMessageAt = 0;
     OnLost(Name);
   };
   Member.Link->connect(Address);
 }
 
-bool upstream_pool::acquainted() const {
-  bool HeardAll =
+bool upstream_pool::hasInitialReports() const {
+  bool AllReported =
       std::all_of(Members.begin(), Members.end(), [](const auto &M) {
-        return M.second.News.incarnation() != 0;
+        return M.second.Report.incarnation() != 0;
       });
-  return HeardAll || steadySeconds() > FirstOpened + AcquaintSeconds;
+  return AllReported || steadySeconds() > FirstOpenedAt + InitialReportSeconds;
 }
 
 void upstream_pool::receive(const std::string &Name,
@@ -104,35 +105,36 @@
   auto It = Members.find(Name);
   if (It == Members.end())
     return;
-  It->second.HeardAt = steadySeconds();
+  It->second.LastMessageAt = steadySeconds();
   if (Message.has_news())
-    return onNews(Name, Message.news());
+    return onReport(Name, Message.news());
   OnMessage(Name, Message);
 }
 
-void upstream_pool::onNews(const std::string &Name, const wire::news &News) {
+void upstream_pool::onReport(const std::string &Name,
+                             const wire::news &Report) {
   member &Member = Members[Name];
-  uint64_t Before = Member.News.incarnation();
-  Member.News = News;
+  uint64_t Before = Member.Report.incarnation();
+  Member.Report = Report;
   Member.Loaded.clear();
-  for (const std::string &Text : News.versions())
+  for (const std::string &Text : Report.versions())
     Member.Loaded.insert(parseVersionName(Text));
   Member.OwnAtReport = Member.OwnInFlight;
-  if (Before != 0 && Before != News.incarnation())
+  if (Before != 0 && Before != Report.incarnation())
     OnLost(Name);
 }
 
-void upstream_pool::noteLoad(const std::string &Upstream, uint32_t Running,
-                             uint32_t Queued) {
+void upstream_pool::updateLoad(const std::string &Upstream, uint32_t Running,
+                               uint32_t Queued) {
   auto It = Members.find(Upstream);
   if (It == Members.end())
     return;
-  It->second.News.set_running(Running);
-  It->second.News.set_queued(Queued);
+  It->second.Report.set_running(Running);
+  It->second.Report.set_queued(Queued);
   It->second.OwnAtReport = It->second.OwnInFlight;
 }
 
-// A managed upstream serves what its sidecar says is loaded.
+// A managed upstream serves the versions that its sidecar reports as loaded.
 bool upstream_pool::serves(const member &Member, const upstream_spec &Spec,
                            const upstream_need &Need) {
   if (Need.Version.Model.empty())
@@ -144,78 +146,86 @@
 }
 
 bool upstream_pool::usable(const member &Member, const upstream_spec &Spec,
-                           const upstream_need &Need, trust Trust,
+                           const upstream_need &Need, breaker_policy Breakers,
                            double Now) const {
-  bool Alive =
-      Member.News.incarnation() != 0 && Now - Member.HeardAt < SilentSeconds;
+  bool Alive = Member.Report.incarnation() != 0 &&
+               Now - Member.LastMessageAt < SilentSeconds;
   bool Open = !Spec.Leaving && !Options.Evacuated.contains(Spec.DataHall);
   return Alive && Open && serves(Member, Spec, Need) &&
-         !Member.News.stopping() && Member.News.has_lease() &&
-         (Trust == trust::Suspect || Member.Breaker.allows(Now));
+         !Member.Report.stopping() && Member.Report.has_lease() &&
+         (Breakers == breaker_policy::IncludeOpen ||
+          Member.Breaker.allows(Now));
 }
 
-replica_news upstream_pool::newsOf(const member &Member,
-                                   const upstream_spec &Spec,
-                                   uint64_t PrefixScore, double Now) const {
+replica_news upstream_pool::replicaState(const member &Member,
+                                         const upstream_spec &Spec,
+                                         uint64_t PrefixScore,
+                                         double Now) const {
   return {.OwnInFlight = Member.OwnInFlight,
-          .ReportedRunning = double(Member.News.running()),
-          .ReportedQueued = double(Member.News.queued()),
+          .ReportedRunning = double(Member.Report.running()),
+          .ReportedQueued = double(Member.Report.queued()),
           .OwnAtReport = Member.OwnAtReport,
-          .Age = Now - Member.HeardAt,
-          .Slots = double(Member.News.slots()),
+          .Age = Now - Member.LastMessageAt,
+          .Slots = double(Member.Report.slots()),
           .SameHall = Spec.DataHall == Options.DataHall,
           .PrefixScore = PrefixScore};
 }
 
-std::string upstream_pool::chooseFree(const upstream_need &Need,
-                                      const std::string &Present,
+std::string upstream_pool::chooseIdle(const upstream_need &Need,
+                                      const std::string &Current,
                                       const catalog &Config,
                                       std::mt19937_64 &Random) {
   upstream_need Elsewhere = Need;
-  Elsewhere.Excluded.insert(Present);
-  std::string Other = chooseAmong(Elsewhere, Config, trust::Sound, Random);
+  Elsewhere.Excluded.insert(Current);
+  std::string Other =
+      chooseAmong(Elsewhere, Config, breaker_policy::ClosedOnly, Random);
   if (Other.empty())
     return {};
   const upstream_spec &Spec = *Config.upstream(Other);
-  bool Free = seemsFree(newsOf(Members[Other], Spec, 0, steadySeconds()));
+  bool Free = seemsFree(replicaState(Members[Other], Spec, 0, steadySeconds()));
   return Free ? Other : std::string();
 }
 
-// After an overload the breakers of all upstreams are open, though all are
-// well again: refusing then would make the overload last for their pause.
+// After an overload the breakers of all upstreams may be open although the
+// upstreams have recovered. Refusing requests until the breakers close again
+// would prolong the overload.
 std::string upstream_pool::choose(const upstream_need &Need,
                                   const catalog &Config,
                                   std::mt19937_64 &Random) {
-  std::string Sound = chooseAmong(Need, Config, trust::Sound, Random);
-  return Sound.empty() ? chooseAmong(Need, Config, trust::Suspect, Random)
-                       : Sound;
+  std::string Closed =
+      chooseAmong(Need, Config, breaker_policy::ClosedOnly, Random);
+  return Closed.empty()
+             ? chooseAmong(Need, Config, breaker_policy::IncludeOpen, Random)
+             : Closed;
 }
 
 std::string upstream_pool::chooseAmong(const upstream_need &Need,
-                                       const catalog &Config, trust Trust,
+                                       const catalog &Config,
+                                       breaker_policy Breakers,
                                        std::mt19937_64 &Random) {
   double Now = steadySeconds();
   std::vector<const std::string *> Names;
-  std::vector<replica_news> News;
+  std::vector<replica_news> Replicas;
   for (const auto &[Name, Member] : Members) {
     const upstream_spec *Spec = Config.upstream(Name);
-    bool Good = Spec && !Need.Excluded.contains(Name) &&
-                usable(Member, *Spec, Need, Trust, Now);
-    if (!Good)
+    bool Usable = Spec && !Need.Excluded.contains(Name) &&
+                  usable(Member, *Spec, Need, Breakers, Now);
+    if (!Usable)
       continue;
     Names.push_back(&Name);
-    News.push_back(newsOf(Member, *Spec, checksum(Name, Need.PrefixHash), Now));
+    Replicas.push_back(
+        replicaState(Member, *Spec, checksum(Name, Need.PrefixHash), Now));
   }
-  auto Place = chooseReplica(News, Random);
-  return Place ? *Names[*Place] : std::string();
+  auto Index = chooseReplica(Replicas, Random);
+  return Index ? *Names[*Index] : std::string();
 }
 
 bool upstream_pool::canServe(const upstream_need &Need, const catalog &Config,
-                             trust Trust) const {
+                             breaker_policy Breakers) const {
   double Now = steadySeconds();
   return std::any_of(Members.begin(), Members.end(), [&](const auto &M) {
     const upstream_spec *Spec = Config.upstream(M.first);
-    return Spec && usable(M.second, *Spec, Need, Trust, Now);
+    return Spec && usable(M.second, *Spec, Need, Breakers, Now);
   });
 }
 
@@ -227,7 +237,7 @@
 
 uint64_t upstream_pool::incarnation(const std::string &Upstream) const {
   auto It = Members.find(Upstream);
-  return It == Members.end() ? 0 : It->second.News.incarnation();
+  return It == Members.end() ? 0 : It->second.Report.incarnation();
 }
 
 void upstream_pool::attemptStarted(const std::string &Upstream) {
@@ -264,15 +274,16 @@
   std::vector<std::string> Silent;
   for (auto &[Name, Member] : Members) {
     bool Busy = Member.OwnInFlight > 0;
-    double Quiet = Now - (Busy ? std::max(Member.HeardAt, Member.BusySince)
-                               : Member.HeardAt);
-    if (Busy && Quiet >= BusySilentSeconds)
+    double SilentFor =
+        Now - (Busy ? std::max(Member.LastMessageAt, Member.BusySince)
+                    : Member.LastMessageAt);
+    if (Busy && SilentFor >= BusySilentSeconds)
       Silent.push_back(Name);
-    bool Due = Now >= Member.NextHello || Quiet >= SilentSeconds ||
-               (Busy && Quiet >= BusyHelloSeconds);
+    bool Due = Now >= Member.NextHelloAt || SilentFor >= SilentSeconds ||
+               (Busy && SilentFor >= BusyHelloIntervalSeconds);
     if (!Due)
       continue;
-    Member.NextHello = Now + HelloSeconds;
+    Member.NextHelloAt = Now + HelloIntervalSeconds;
     Member.Link->send(Hello);
   }
   for (const std::string &Name : Silent)
--- a/entry/upstream_pool.h
+++ b/entry/upstream_pool.h
@@ -1,8 +1,8 @@
-//===- upstream_pool.h - The upstreams an entry talks to --------*- C++ -*-===//
+//===- upstream_pool.h - Upstreams that an entry uses -----------*- C++ -*-===//
 //
-// Links to a subset of sidecars, what is known of each, and the choice among
-// them. A subset, since news of every replica would cost an entry more than
-// its share of control traffic.
+// Holds links to a subset of the sidecars and the last report of each, and
+// chooses an upstream for every attempt. It is a subset because reports from
+// every replica would exceed the entry's share of the control traffic.
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,87 +25,94 @@
   std::string Node;
   uint64_t Incarnation = 0;
   std::string DataHall;
-  const evacuated_halls &Evacuated; ///< Outlives the pool.
+  const evacuated_halls &Evacuated; ///< Must outlive the pool.
 };
 
-/// What kind of work an upstream is wanted for.
+/// What an attempt requires of an upstream.
 struct upstream_need {
-  version_name Version; ///< Model empty: a plain service.
-  std::string Service;
-  uint64_t PrefixHash = 0;
-  std::set<std::string> Excluded; ///< Tried before.
+  version_name Version;    ///< Model is empty for a plain service.
+  std::string Service;     ///< Used if Version names no model.
+  uint64_t PrefixHash = 0; ///< Of the prompt; steers equal prefixes together.
+  std::set<std::string> Excluded; ///< Upstreams tried before.
 };
 
-/// How far the breaker is heeded.
-enum class trust : uint8_t {
-  Sound,   ///< Only upstreams whose breaker is closed.
-  Suspect, ///< Also those that failed lately.
+/// Which upstreams may be used in view of their circuit breakers.
+enum class breaker_policy : uint8_t {
+  ClosedOnly,  ///< Only upstreams whose breaker is closed.
+  IncludeOpen, ///< Also upstreams whose breaker is open after failures.
 };
 
+/// The upstreams of one entry.
 class upstream_pool {
 public:
   using message_handler = std::function<void(const std::string &Upstream,
                                              const wire::envelope &Message)>;
-  /// The upstream restarted or its connection broke.
+  /// The upstream's sidecar restarted, disconnected or is silent.
   using lost_handler = std::function<void(const std::string &Upstream)>;
 
   upstream_pool(link_context &Context, struct ev_loop *Loop,
                 pool_options Options, message_handler OnMessage,
                 lost_handler OnLost);
 
-  /// Follows the configuration, shared with so many entries: opens and closes
-  /// links.
+  /// Opens and closes links as the configuration requires. The replicas are
+  /// divided among \p Entries entries.
   void configure(const catalog &Config, size_t Entries);
-  /// Name of the upstream to use, or empty if there is none. Suspect ones are
-  /// used only when there is no sound one.
+  /// Name of the upstream to use; empty: none. Upstreams with an open breaker
+  /// are used only if there is no other.
   std::string choose(const upstream_need &Need, const catalog &Config,
                      std::mt19937_64 &Random);
-  /// Another upstream than \p Present that seems free, for a request that has
-  /// to wait there; empty if waiting is as good.
-  std::string chooseFree(const upstream_need &Need, const std::string &Present,
+  /// An upstream other than \p Current that seems to have a free slot, for a
+  /// request that is queued there; empty: moving would not help.
+  std::string chooseIdle(const upstream_need &Need, const std::string &Current,
                          const catalog &Config, std::mt19937_64 &Random);
+  /// True if an upstream meets \p Need; Excluded is ignored.
   bool canServe(const upstream_need &Need, const catalog &Config,
-                trust Trust) const;
+                breaker_policy Breakers) const;
+  /// False if there is no connection to the upstream.
   bool send(const std::string &Upstream, const wire::envelope &Message);
-  /// 0 if nothing was heard from it.
+  /// Incarnation of the upstream's sidecar; 0: it has sent no report yet.
   uint64_t incarnation(const std::string &Upstream) const;
+  /// Counts an attempt as in flight until attemptEnded().
   void attemptStarted(const std::string &Upstream);
   void attemptEnded(const std::string &Upstream);
-  /// For the breaker.
+  /// Reports the result of an attempt to the upstream's circuit breaker.
   void succeeded(const std::string &Upstream);
   void failed(const std::string &Upstream);
-  /// Load that came along with an answer.
-  void noteLoad(const std::string &Upstream, uint32_t Running, uint32_t Queued);
-  /// False while an entry that has just started may still hear from upstreams
-  /// for the first time: it would refuse what another entry can serve.
-  bool acquainted() const;
+  /// Takes over the load, in requests, that came with a sidecar's message.
+  void updateLoad(const std::string &Upstream, uint32_t Running,
+                  uint32_t Queued);
+  /// False while a newly started entry waits for the first reports of its
+  /// upstreams: it would refuse requests that another entry can serve.
+  bool hasInitialReports() const;
 
 private:
   struct member {
     std::string Address;
     std::unique_ptr<client_link> Link;
-    wire::news News;
-    std::set<version_name> Loaded; ///< As in News; managed upstreams.
-    double HeardAt = 0;
-    double NextHello = 0;
-    double BusySince = 0; ///< When it got work after it had none.
-    double OwnAtReport = 0;
-    double OwnInFlight = 0;
+    wire::news Report;             ///< Last report.
+    std::set<version_name> Loaded; ///< From the last report.
+    double LastMessageAt = 0;      ///< When the last message came.
+    double NextHelloAt = 0;
+    double BusySince = 0;   ///< Start of the first of the attempts in flight.
+    double OwnAtReport = 0; ///< OwnInFlight when the load was reported.
+    double OwnInFlight = 0; ///< Attempts of this entry.
     circuit_breaker Breaker;
   };
 
-  std::set<std::string> wanted(const catalog &Config, size_t Entries) const;
+  std::set<std::string> selectSubset(const catalog &Config,
+                                     size_t Entries) const;
   void open(const std::string &Name, const std::string &Address);
   void receive(const std::string &Name, const wire::envelope &Message);
-  void onNews(const std::string &Name, const wire::news &News);
+  void onReport(const std::string &Name, const wire::news &Report);
   std::string chooseAmong(const upstream_need &Need, const catalog &Config,
-                          trust Trust, std::mt19937_64 &Random);
-  replica_news newsOf(const member &Member, const upstream_spec &Spec,
-                      uint64_t PrefixScore, double Now) const;
+                          breaker_policy Breakers, std::mt19937_64 &Random);
+  replica_news replicaState(const member &Member, const upstream_spec &Spec,
+                            uint64_t PrefixScore, double Now) const;
   static bool serves(const member &Member, const upstream_spec &Spec,
                      const upstream_need &Need);
   bool usable(const member &Member, const upstream_spec &Spec,
-              const upstream_need &Need, trust Trust, double Now) const;
+              const upstream_need &Need, breaker_policy Breakers,
+              double Now) const;
   void tick();
 
   link_context &Context;
@@ -114,7 +121,8 @@
   message_handler OnMessage;
   lost_handler OnLost;
   std::map<std::string, member> Members;
-  double FirstOpened = 0; ///< When the first link was opened.
+  double FirstOpenedAt = 0; ///< When the first link was opened; 0: none yet.
+  /// Links to be freed outside of their own callbacks.
   std::vector<std::unique_ptr<client_link>> Closing;
   timer Timer;
   before_wait Prepare;
