--- a/sidecar/admission.cpp
+++ b/sidecar/admission.cpp
@@ -1,4 +1,4 @@
-//===- admission.cpp - The last check before work starts ------------------===//
+//===- admission.cpp - Admission check for attempts -----------------------===//
 
 #include "sidecar/admission.h"
 #include "base/error.h"
@@ -19,7 +19,7 @@
   const version_spec *Version = Config.version(Name);
   if (!Version || !takesNewWork(Version->State))
     return makeError(error_kind::VersionWithdrawn,
-                     Name.text() + " takes no new work");
+                     Name.text() + " accepts no new requests");
   const auto &Served = Config.versionsOf(Upstream);
   bool Serves = std::find(Served.begin(), Served.end(), Name) != Served.end();
   if (Upstream.managed())
@@ -51,7 +51,7 @@
                    const catalog &Config) {
   if (Attempt.sidecar_incarnation() != State.Incarnation)
     return makeError(error_kind::StaleIncarnation,
-                     "meant for an earlier start of this sidecar");
+                     "the attempt is for an earlier start of this sidecar");
   if (State.Stopping)
     return makeError(error_kind::Draining, State.Upstream + " is stopping");
   if (!State.HasLease)
--- a/sidecar/admission.h
+++ b/sidecar/admission.h
@@ -1,7 +1,8 @@
-//===- admission.h - The last check before work starts ----------*- C++ -*-===//
+//===- admission.h - Admission check for attempts ---------------*- C++ -*-===//
 //
-// Whatever an entry believed, work starts at an upstream only if this says
-// yes, from the sidecar's own configuration under its own lease. Pure.
+// An attempt starts at an upstream only if this check allows it, whatever the
+// entry assumed. It uses the sidecar's own configuration, held under its own
+// lease. Pure.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,18 +17,18 @@
 
 namespace olivevalve {
 
-/// What the sidecar knows of itself when it is asked.
+/// State of the sidecar that performs the check.
 struct admission_state {
   std::string Upstream;
   uint64_t Incarnation = 0;
   bool HasLease = false;
   bool Stopping = false;
-  /// What the engine holds; needed for managed upstreams only.
+  /// Versions that the engine holds; required for managed upstreams only.
   const std::set<version_name> *Loaded = nullptr;
-  const evacuated_halls *Evacuated = nullptr; ///< Null: none.
+  const evacuated_halls *Evacuated = nullptr; ///< Null: no data hall.
 };
 
-/// OK, or the error kind that the entry is told.
+/// OK, or an error whose kind and message are returned to the entry.
 absl::Status admit(const wire::attempt &Attempt, const admission_state &State,
                    const catalog &Config);
 
--- a/sidecar/attempt_table.cpp
+++ b/sidecar/attempt_table.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-// Longer than a frame can linger in a connection that is being given up, and
-// than an entry keeps asking.
-constexpr double RememberSeconds = 900;
+// How long ended attempts are kept: longer than a frame can be delayed in a
+// connection that is being closed, and than an entry sends queries about them.
+constexpr double RetentionSeconds = 900;
 
 } // namespace
 
@@ -20,27 +20,28 @@
 void attempt_table::set(const attempt_key &Key, attempt_progress Progress,
                         double Now) {
   Records[Key] = Progress;
-  bool Over = Progress == attempt_progress::Finished ||
-              Progress == attempt_progress::NotStarted;
-  if (Over)
-    Ended.push_back({Now, Key});
+  bool Final = Progress == attempt_progress::Finished ||
+               Progress == attempt_progress::NotStarted;
+  if (Final)
+    EndedAttempts.push_back({Now, Key});
 }
 
 attempt_progress attempt_table::cancelIfNotStarted(const attempt_key &Key,
                                                    double Now) {
-  attempt_progress Present = progress(Key);
-  bool Waiting = Present == attempt_progress::Unknown ||
-                 Present == attempt_progress::Queued;
-  if (!Waiting)
-    return Present;
+  attempt_progress Current = progress(Key);
+  bool CanCancel = Current == attempt_progress::Unknown ||
+                   Current == attempt_progress::Queued;
+  if (!CanCancel)
+    return Current;
   set(Key, attempt_progress::NotStarted, Now);
   return attempt_progress::NotStarted;
 }
 
 void attempt_table::expire(double Now) {
-  while (!Ended.empty() && Ended.front().Time + RememberSeconds < Now) {
-    Records.erase(Ended.front().Key);
-    Ended.pop_front();
+  while (!EndedAttempts.empty() &&
+         EndedAttempts.front().Time + RetentionSeconds < Now) {
+    Records.erase(EndedAttempts.front().Key);
+    EndedAttempts.pop_front();
   }
 }
 
--- a/sidecar/engine.cpp
+++ b/sidecar/engine.cpp
@@ -1,4 +1,4 @@
-//===- engine.cpp - The contract with engines and services ----------------===//
+//===- engine.cpp - Interface of engines and plain services ---------------===//
 
 #include "sidecar/engine.h"
 #include "base/fields.h"
@@ -8,18 +8,18 @@
 
 namespace {
 
-// The usage object stands at the end of an answer; it and what follows it
-// are a few hundred bytes.
+// The usage object is at the end of a response; it and what follows are a few
+// hundred bytes.
 constexpr size_t TailBytes = 4096;
 
-uint32_t tokens(const json &Object, std::string_view Key) {
+uint32_t tokenCount(const json &Object, std::string_view Key) {
   auto It = Object.find(Key);
-  bool Good = It != Object.end() && It->is_number_unsigned();
-  return Good ? uint32_t(std::min<uint64_t>(It->get<uint64_t>(), UINT32_MAX))
-              : 0;
+  bool Valid = It != Object.end() && It->is_number_unsigned();
+  return Valid ? uint32_t(std::min<uint64_t>(It->get<uint64_t>(), UINT32_MAX))
+               : 0;
 }
 
-// The text of the object that starts at \p Begin, by its braces.
+// The text of the object that begins at \p Begin, found by counting braces.
 std::string_view objectAt(std::string_view Text, size_t Begin) {
   int Depth = 0;
   for (size_t I = Begin; I < Text.size(); ++I) {
@@ -55,11 +55,11 @@
   if (!Object.is_object())
     return std::nullopt;
   wire::usage Usage;
-  Usage.set_input_tokens(tokens(Object, "prompt_tokens"));
-  Usage.set_output_tokens(tokens(Object, "completion_tokens"));
+  Usage.set_input_tokens(tokenCount(Object, "prompt_tokens"));
+  Usage.set_output_tokens(tokenCount(Object, "completion_tokens"));
   auto Details = Object.find("prompt_tokens_details");
   if (Details != Object.end() && Details->is_object())
-    Usage.set_cached_tokens(tokens(*Details, "cached_tokens"));
+    Usage.set_cached_tokens(tokenCount(*Details, "cached_tokens"));
   return Usage;
 }
 
--- a/sidecar/engine.h
+++ b/sidecar/engine.h
@@ -1,7 +1,7 @@
-//===- engine.h - The contract with engines and services --------*- C++ -*-===//
+//===- engine.h - Interface of engines and plain services -------*- C++ -*-===//
 //
-// All that is known of a model engine's interface stands here: where requests
-// go, how priority and usage are written, how load is read. See
+// The only place that knows the interface of model engines: the target of
+// requests, how priority and usage are encoded, and how the load is read. See
 // docs/INTERFACES.md.
 //
 //===----------------------------------------------------------------------===//
@@ -17,12 +17,12 @@
 
 namespace olivevalve {
 
-/// Finds the usage object in an answer, plain or streamed, from its last
-/// bytes; holds a few kilobytes at most.
+/// Finds the usage object in a plain or streamed response. It buffers only the
+/// last few kilobytes.
 class usage_scanner {
 public:
   void feed(std::string_view Bytes);
-  /// None if the answer carried none.
+  /// Empty if the response contains none.
   std::optional<wire::usage> usage() const;
 
 private:
@@ -31,13 +31,14 @@
 
 /// Load as the engine reports it.
 struct engine_load {
-  double CacheInUse = 0; ///< KV cache, 0 to 1.
-  double At = 0;         ///< When it was read.
+  double CacheInUse = 0; ///< Share of the KV cache in use, 0 to 1.
+  double At = 0;         ///< When it was read, by steadySeconds().
 };
 
+/// Empty if \p Body is not a valid load report.
 std::optional<engine_load> parseEngineLoad(std::string_view Body, double Now);
 
-/// The HTTP request for an attempt.
+/// The HTTP request that runs an attempt at the engine under \p BaseUrl.
 fetch_options engineRequest(const wire::attempt &Attempt,
                             const std::string &BaseUrl);
 
--- a/sidecar/sidecar_bills.cpp
+++ b/sidecar/sidecar_bills.cpp
@@ -1,7 +1,7 @@
-//===- sidecar_bills.cpp - What a sidecar keeps of answers ----------------===//
+//===- sidecar_bills.cpp - Bills and outcomes of attempts -----------------===//
 //
-// The part of sidecar_task that keeps a bill until the entry has settled it,
-// and stores the outcome of what may run only once.
+// The part of sidecar_task that holds a bill until the entry has settled it and
+// stores the outcomes of requests that may run only once.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,10 +12,10 @@
 
 namespace {
 
-// An entry that lives settles at once; what it has not settled after this was
-// lost on the way, and the entry hands its own copy in.
+// A running entry settles a bill at once. If it has not done so after this
+// time, its message was lost, and the entry itself reports its copy to control.
 constexpr double UnsettledSeconds = 60;
-constexpr double OutcomeSeconds = 60;
+constexpr double OutcomeTimeoutSeconds = 60;
 
 } // namespace
 
@@ -25,16 +25,16 @@
     Outbox.add(Settle.bill());
 }
 
-void sidecar_task::keepBill(const running_attempt &Work) {
+void sidecar_task::holdBill(const active_attempt &Work) {
   const wire::attempt &Attempt = Work.Attempt;
   wire::usage Usage = Work.Usage.usage().value_or(wire::usage());
-  unsettled_bill &Kept = Unsettled[keyOf(Attempt.id())];
-  Kept.Peer = Work.Peer;
-  Kept.At = steadySeconds();
-  Kept.Bill.set_entry(Attempt.id().entry());
-  Kept.Bill.set_request(Attempt.id().request());
-  Kept.Bill.set_account(Attempt.account());
-  wire::bill_item *Item = Kept.Bill.add_items();
+  unsettled_bill &Held = Unsettled[keyOf(Attempt.id())];
+  Held.Peer = Work.Peer;
+  Held.At = steadySeconds();
+  Held.Bill.set_entry(Attempt.id().entry());
+  Held.Bill.set_request(Attempt.id().request());
+  Held.Bill.set_account(Attempt.account());
+  wire::bill_item *Item = Held.Bill.add_items();
   const version_spec *Spec =
       Control.config().version({Attempt.model(), Attempt.version()});
   const upstream_spec *Upstream = Control.config().upstream(Options.Upstream);
@@ -46,17 +46,17 @@
 
 void sidecar_task::settleForLostEntries(double Now) {
   std::erase_if(Unsettled, [&](const auto &Item) {
-    const unsettled_bill &Kept = Item.second;
-    bool EntryLives = Entries.contains(Kept.Peer);
-    if (!EntryLives)
-      Outbox.add(Kept.Bill);
-    return !EntryLives || Now > Kept.At + UnsettledSeconds;
+    const unsettled_bill &Held = Item.second;
+    bool EntryAlive = Entries.contains(Held.Peer);
+    if (!EntryAlive)
+      Outbox.add(Held.Bill);
+    return !EntryAlive || Now > Held.At + UnsettledSeconds;
   });
 }
 
-// The sidecar stores the outcome and not the entry: it alone knows it even when
-// the entry died meanwhile.
-void sidecar_task::storeOutcome(const running_attempt &Work) {
+// The sidecar and not the entry stores the outcome, because it still has it if
+// the entry is lost meanwhile.
+void sidecar_task::storeOutcome(const active_attempt &Work) {
   wire::envelope Message;
   wire::finish *Finish = Message.mutable_finish();
   Finish->set_account(Work.Attempt.account());
@@ -64,10 +64,10 @@
   *Finish->mutable_id() = Work.Attempt.id();
   Finish->set_status(uint32_t(Work.Status));
   Finish->set_content_type(Work.ContentType);
-  if (Work.Outcome.size() <= OutcomeBytes)
+  if (Work.Outcome.size() <= MaxOutcomeBytes)
     Finish->set_body(Work.Outcome);
   ++OutcomesPending;
-  Control.ask(std::move(Message), OutcomeSeconds,
+  Control.ask(std::move(Message), OutcomeTimeoutSeconds,
               [this](const wire::envelope *) { --OutcomesPending; });
 }
 
--- a/sidecar/sidecar_task.cpp
+++ b/sidecar/sidecar_task.cpp
@@ -14,21 +14,23 @@
 namespace {
 
 constexpr double TickSeconds = 0.1;
-// The load is looked at so often, and told to entries when it has moved;
-// answers tell it too, and entries ask for it every ten seconds.
-constexpr double LookSeconds = 1.5;
-// An entry that did not ask for news this long gets none.
-constexpr double EntryForgetSeconds = 25;
-// Requests that may wait at one upstream; past that entries must go
-// elsewhere or callers must hear it.
-constexpr size_t QueueLength = 256;
-// No request waits longer, whatever its deadline: by then another replica or
-// a refusal serves the caller better.
-constexpr double LongestWait = 10;
-// The sidecar's copy of a bill waits for the entry's to be counted first.
+// Interval at which the load is checked and, if it has changed enough, reported
+// to entries. Responses carry it too, and entries request it every ten seconds.
+constexpr double LoadCheckSeconds = 1.5;
+// An entry that has not sent a hello for this long gets no more reports.
+constexpr double EntryTimeoutSeconds = 25;
+// Bounds the requests that wait at one upstream. Beyond it entries must choose
+// another upstream or refuse the caller.
+constexpr size_t MaxQueueLength = 256;
+// Bounds the time in the queue whatever the request's deadline: after it,
+// another replica or an error serves the caller better.
+constexpr double MaxQueueSeconds = 10;
+// The sidecar's copy of a bill is held back so that the entry's is counted
+// first.
 constexpr double BillHoldSeconds = 3;
-// Only a leader grants; which one it is makes no difference.
-constexpr uint64_t SomeLeader = 1;
+// Stands for the leader in crash reports: only the leader sends grants, so it
+// need not be told apart from the other control VMs.
+constexpr uint64_t AnyLeader = 1;
 
 } // namespace
 
@@ -47,27 +49,27 @@
                .DataHall = Options.DataHall,
                .Control = Options.Control}),
       Outbox(Control, Loop, BillHoldSeconds), Http(Loop),
-      Loader(Http, Options.EngineUrl), Queue(QueueLength), Reports(Metrics),
+      Loader(Http, Options.EngineUrl), Queue(MaxQueueLength), Reports(Metrics),
       Crashes(Loop, Metrics, Reports), Timer(Loop, [this] { tick(); }) {
   Control.OnRenew = [this](wire::renew &Renew) {
-    wire::news &News = *Renew.mutable_upstream_news();
-    News = makeNews();
-    News.set_upstream(Options.Upstream);
-    News.set_engine_load(EngineLoad.CacheInUse);
-    News.set_engine_load_age(steadySeconds() - EngineLoad.At);
+    wire::news &Report = *Renew.mutable_upstream_news();
+    Report = makeReport();
+    Report.set_upstream(Options.Upstream);
+    Report.set_engine_load(EngineLoad.CacheInUse);
+    Report.set_engine_load_age(steadySeconds() - EngineLoad.At);
     fillVersionLoads(Renew);
     Reports.fill(*Renew.mutable_crashes(), Renew.sent_at());
   };
   Control.OnGrant = [this](const wire::grant &Grant) {
-    Reports.acknowledged(Grant.sent_at(), SomeLeader);
+    Reports.acknowledged(Grant.sent_at(), AnyLeader);
     Reports.hear(Grant.quarantine());
   };
-  Reports.OnReport = [this] { HasCrashReport = true; };
+  Reports.OnReport = [this] { CrashReportPending = true; };
   Crashes.OnEnded = [this](const watched_upstream &) {
-    EngineEndedAt = steadySeconds();
+    EngineCrashedAt = steadySeconds();
   };
-  Control.OnConfig = [this] { sendNews(); };
-  Loader.OnChanged = [this] { sendNews(); };
+  Control.OnConfig = [this] { sendReport(); };
+  Loader.OnChanged = [this] { sendReport(); };
   Timer.startRepeating(TickSeconds);
 }
 
@@ -86,7 +88,7 @@
   return Upstream && Upstream->managed();
 }
 
-// What control places by.
+// Reports the load by which control places versions.
 void sidecar_task::fillVersionLoads(wire::renew &Renew) const {
   if (!managed())
     return;
@@ -100,34 +102,35 @@
   }
 }
 
-// Orders to the engine are given only under a lease: a sidecar that was cut off
-// may hold an assignment that is long over.
-void sidecar_task::orderVersions() {
+// The engine is given versions only under a lease, because a sidecar that has
+// been cut off may hold an assignment that is long out of date.
+void sidecar_task::updateVersions() {
   const catalog &Config = Control.config();
   const upstream_spec *Upstream = Config.upstream(Options.Upstream);
   if (!Upstream || !Upstream->managed() || !Control.hasLease())
     return;
   auto Placement = Config.objects().find({"placement", Options.Upstream});
-  load_wish Wish{.Room = size_t(Upstream->Room)};
+  load_wish Assignment{.Room = size_t(Upstream->Room)};
   if (Placement != Config.objects().end())
-    Wish.Index = Placement->second.Index;
+    Assignment.Index = Placement->second.Index;
   for (const version_name &Name : Config.versionsOf(*Upstream)) {
     const version_spec *Spec = Config.version(Name);
     if (!Spec)
       continue;
-    Wish.Versions[Name] =
+    Assignment.Versions[Name] =
         Spec->EngineModel.empty() ? Name.text() : Spec->EngineModel;
   }
   std::set<version_name> InUse;
   for (const auto &[Ticket, Work] : Attempts)
     InUse.insert({Work.Attempt.model(), Work.Attempt.version()});
-  Loader.work(Wish, InUse);
+  Loader.update(Assignment, InUse);
 }
 
 absl::Status sidecar_task::check(const wire::attempt &Attempt) const {
   if (Reports.refuses(digestOf(Attempt.request())))
     return makeError(error_kind::Quarantined,
-                     "upstreams end under this request");
+                     "the request is quarantined: upstreams crashed while "
+                     "processing it");
   return admit(Attempt,
                {.Upstream = Options.Upstream,
                 .Incarnation = Incarnation,
@@ -159,7 +162,7 @@
 void sidecar_task::onHello(const std::string &Peer) {
   Entries[Peer] = steadySeconds();
   wire::envelope Message;
-  *Message.mutable_news() = makeNews();
+  *Message.mutable_news() = makeReport();
   Server.send(Peer, Message);
 }
 
@@ -175,15 +178,16 @@
   Server.send(Peer, Message);
 }
 
-// An attempt seen before, in whatever state, is a double or came after its own
-// cancel: it must not run again.
+// An attempt that is already in the table is a duplicate, or arrives after its
+// own cancellation: it must not run again.
 void sidecar_task::onAttempt(const std::string &Peer,
                              const wire::attempt &Attempt) {
   attempt_key Key = keyOf(Attempt.id());
   attempt_progress Progress = Table.progress(Key);
   if (Progress == attempt_progress::NotStarted)
     return refuse(Peer, Attempt.id(),
-                  makeError(error_kind::Cancelled, "cancelled before it came"));
+                  makeError(error_kind::Cancelled,
+                            "the attempt was cancelled before it arrived"));
   if (Progress != attempt_progress::Unknown) {
     Metrics.count("doubled_attempts", "sidecar");
     return;
@@ -200,7 +204,7 @@
                            const wire::attempt &Attempt) {
   double Now = steadySeconds();
   uint64_t Ticket = NextTicket++;
-  running_attempt &Work = Attempts[Ticket];
+  active_attempt &Work = Attempts[Ticket];
   Work.Peer = Peer;
   Work.Attempt = Attempt;
   Work.Ticket = Ticket;
@@ -209,37 +213,37 @@
   attempt_key Key = keyOf(Attempt.id());
   Tickets[Key] = Ticket;
   Table.set(Key, attempt_progress::Queued, Now);
-  double Wait = std::min(Attempt.budget_ms() * 1e-3, LongestWait);
+  double Wait = std::min(Attempt.budget_ms() * 1e-3, MaxQueueSeconds);
   auto Shed = Queue.push({.Ticket = Ticket,
                           .Priority = Attempt.priority(),
                           .Arrived = Now,
                           .Deadline = Now + Wait});
   if (Shed)
-    dropQueued(*Shed, error_kind::QueueFull, "the upstream's queue is full");
+    rejectQueued(*Shed, error_kind::QueueFull, "the upstream's queue is full");
   startNext();
-  running_attempt *Still = find(Ticket);
-  if (!Still)
+  active_attempt *Current = find(Ticket);
+  if (!Current)
     return;
   wire::envelope Message;
   wire::accepted *Accepted = Message.mutable_accepted();
   *Accepted->mutable_id() = Attempt.id();
-  Accepted->set_started(Still->Running);
+  Accepted->set_started(Current->Running);
   Accepted->set_running(uint32_t(Running));
   Accepted->set_queued(uint32_t(Queue.size()));
   Server.send(Peer, Message);
 }
 
-sidecar_task::running_attempt *sidecar_task::find(uint64_t Ticket) {
+sidecar_task::active_attempt *sidecar_task::find(uint64_t Ticket) {
   auto It = Attempts.find(Ticket);
   return It == Attempts.end() ? nullptr : &It->second;
 }
 
-sidecar_task::running_attempt *sidecar_task::find(const attempt_key &Key) {
+sidecar_task::active_attempt *sidecar_task::find(const attempt_key &Key) {
   auto It = Tickets.find(Key);
   return It == Tickets.end() ? nullptr : find(It->second);
 }
 
-void sidecar_task::forget(uint64_t Ticket, attempt_progress Progress) {
+void sidecar_task::removeAttempt(uint64_t Ticket, attempt_progress Progress) {
   auto It = Attempts.find(Ticket);
   attempt_key Key = keyOf(It->second.Attempt.id());
   Table.set(Key, Progress, steadySeconds());
@@ -249,37 +253,38 @@
   Attempts.erase(It);
 }
 
-void sidecar_task::dropQueued(uint64_t Ticket, error_kind Kind,
-                              std::string_view Message) {
-  running_attempt *Work = find(Ticket);
+void sidecar_task::rejectQueued(uint64_t Ticket, error_kind Kind,
+                                std::string_view Message) {
+  active_attempt *Work = find(Ticket);
   if (!Work)
     return;
   refuse(Work->Peer, Work->Attempt.id(), makeError(Kind, Message));
-  forget(Ticket, attempt_progress::NotStarted);
+  removeAttempt(Ticket, attempt_progress::NotStarted);
 }
 
-// Checks once more at the moment of start: a version may have been withdrawn
-// or the lease lost while the attempt waited.
+// Admission is checked again at the start, since the version may have been
+// withdrawn or the lease lost while the attempt was queued.
 void sidecar_task::startNext() {
   double Now = steadySeconds();
   while (Running < slots()) {
     auto Next = Queue.pop(Now);
     if (!Next)
       return;
-    running_attempt *Work = find(Next->Ticket);
+    active_attempt *Work = find(Next->Ticket);
     if (!Work)
       continue;
     absl::Status Status = check(Work->Attempt);
-    // A planned stop lets finish what it had accepted.
+    // In a planned stop the attempts accepted before it are completed.
     bool WasAccepted = kindOf(Status) == error_kind::Draining && Stopping;
     if (Status.ok() || WasAccepted)
       start(*Work, Now);
     else
-      dropQueued(Next->Ticket, kindOf(Status), std::string(messageOf(Status)));
+      rejectQueued(Next->Ticket, kindOf(Status),
+                   std::string(messageOf(Status)));
   }
 }
 
-void sidecar_task::start(running_attempt &Work, double Now) {
+void sidecar_task::start(active_attempt &Work, double Now) {
   Work.Running = true;
   Work.Started = Now;
   ++Running;
@@ -308,13 +313,13 @@
 
 void sidecar_task::onHead(uint64_t Ticket, int Status,
                           std::string_view ContentType) {
-  running_attempt *Work = find(Ticket);
+  active_attempt *Work = find(Ticket);
   if (!Work)
     return;
   Work->Status = Status;
   if (isPrintable(ContentType))
     Work->ContentType = std::string(ContentType);
-  // An engine's own failure is not an answer: the entry may try elsewhere.
+  // An engine's server error is not passed on: the entry may retry elsewhere.
   if (isEngine() && Status >= 500)
     return;
   wire::envelope Message;
@@ -326,14 +331,14 @@
 }
 
 bool sidecar_task::onBytes(uint64_t Ticket, std::string_view Bytes) {
-  running_attempt *Work = find(Ticket);
+  active_attempt *Work = find(Ticket);
   if (!Work)
     return true;
   if (isEngine() && Work->Status >= 500)
     return true;
-  // A claimed attempt ends whether or not anybody still reads it.
+  // A claimed attempt runs to its end even if nobody reads the response.
   if (Work->claimed()) {
-    if (Work->Outcome.size() < OutcomeBytes)
+    if (Work->Outcome.size() < MaxOutcomeBytes)
       Work->Outcome.append(Bytes);
   } else if (Work->Credits == 0) {
     Work->Paused = true;
@@ -348,16 +353,16 @@
   Frame->set_sequence(Work->NextSequence++);
   Frame->set_data(Bytes.data(), Bytes.size());
   if (!Server.send(Work->Peer, Message) && !Work->claimed()) {
-    // The entry is gone: nobody will read the rest.
+    // The entry is gone, so nobody can read the rest.
     Metrics.count("entries_gone", "sidecar");
     Http.cancel(Work->Fetch);
-    forget(Ticket, attempt_progress::Finished);
+    removeAttempt(Ticket, attempt_progress::Finished);
   }
   return true;
 }
 
 void sidecar_task::onCredit(const wire::credit &Credit) {
-  running_attempt *Work = find(keyOf(Credit.id()));
+  active_attempt *Work = find(keyOf(Credit.id()));
   if (!Work)
     return;
   Work->Credits += Credit.frames();
@@ -368,44 +373,46 @@
 }
 
 void sidecar_task::onDone(uint64_t Ticket, const fetch_result &Result) {
-  running_attempt *Work = find(Ticket);
+  active_attempt *Work = find(Ticket);
   if (!Work)
     return;
   if (Result.NeverSent) {
     refuse(Work->Peer, Work->Attempt.id(),
-           makeError(error_kind::NoUpstream, "the engine does not answer"));
-    forget(Ticket, attempt_progress::NotStarted);
+           makeError(error_kind::NoUpstream, "cannot connect to the engine"));
+    removeAttempt(Ticket, attempt_progress::NotStarted);
     return startNext();
   }
-  noteEngine(*Work, Result.Error.empty());
+  recordEngineResult(*Work, Result.Error.empty());
   bool Failed = !Result.Error.empty() || (isEngine() && Result.Status >= 500);
   error_kind Kind = Failed ? error_kind::EngineFailed : error_kind::None;
   std::string Message = Result.Error;
   if (Message.empty() && Kind != error_kind::None)
-    Message = "the engine answered " + std::to_string(Result.Status);
+    Message =
+        "the engine responded with status " + std::to_string(Result.Status);
   if (Work->claimed() && Kind == error_kind::None)
     storeOutcome(*Work);
   if (Kind == error_kind::None)
-    keepBill(*Work);
+    holdBill(*Work);
   sendEnd(*Work, Kind, Message);
-  forget(Ticket, attempt_progress::Finished);
+  removeAttempt(Ticket, attempt_progress::Finished);
   startNext();
 }
 
 watched_upstream sidecar_task::engine() const {
   size_t Host = Options.EngineUrl.find("//");
-  return {.Place = checksum(Options.Upstream, Incarnation + EngineStart),
+  return {.Place = checksum(Options.Upstream, Incarnation + EngineGeneration),
           .Name = Options.Upstream,
           .Address = Options.EngineUrl.substr(
               Host == std::string::npos ? 0 : Host + 2)};
 }
 
-// What an attempt says of the engine that ran it, by how it is over.
-void sidecar_task::noteEngine(const running_attempt &Work, bool Answered) {
-  bool StartedAgain = EngineEndedAt > 0 && Work.Started > EngineEndedAt;
-  if (StartedAgain) {
-    ++EngineStart;
-    EngineEndedAt = 0;
+// Derives from a finished attempt whether the engine that ran it is alive.
+void sidecar_task::recordEngineResult(const active_attempt &Work,
+                                      bool Answered) {
+  bool Restarted = EngineCrashedAt > 0 && Work.Started > EngineCrashedAt;
+  if (Restarted) {
+    ++EngineGeneration;
+    EngineCrashedAt = 0;
   }
   short_digest Request = digestOf(Work.Attempt.request());
   if (!Answered)
@@ -415,7 +422,7 @@
     Reports.answered(Request);
 }
 
-void sidecar_task::sendEnd(const running_attempt &Work, error_kind Kind,
+void sidecar_task::sendEnd(const active_attempt &Work, error_kind Kind,
                            std::string_view Message) {
   wire::envelope Envelope;
   wire::end *End = Envelope.mutable_end();
@@ -433,8 +440,9 @@
   Server.send(Work.Peer, Envelope);
 }
 
-// With only_if_not_started the answer says what is true; a running attempt is
-// left alone. Without it a running attempt is ended at the engine too.
+// With only_if_not_started the reply gives the attempt's progress, and an
+// attempt that is running is left alone. Otherwise a running attempt is also
+// aborted at the engine.
 void sidecar_task::onCancel(const std::string &Peer,
                             const wire::cancel &Cancel) {
   if (Cancel.sidecar_incarnation() != Incarnation)
@@ -443,17 +451,17 @@
   if (!Cancel.only_if_not_started())
     Unsettled.erase(Key);
   double Now = steadySeconds();
-  running_attempt *Work = find(Key);
+  active_attempt *Work = find(Key);
   attempt_progress Progress = Table.cancelIfNotStarted(Key, Now);
   if (Progress == attempt_progress::NotStarted && Work) {
     Queue.remove(Work->Ticket);
-    forget(Work->Ticket, attempt_progress::NotStarted);
+    removeAttempt(Work->Ticket, attempt_progress::NotStarted);
   }
-  bool Ends =
+  bool Abort =
       Progress == attempt_progress::Running && !Cancel.only_if_not_started();
-  if (Ends && Work) {
+  if (Abort && Work) {
     Http.cancel(Work->Fetch);
-    forget(Work->Ticket, attempt_progress::Finished);
+    removeAttempt(Work->Ticket, attempt_progress::Finished);
     Progress = attempt_progress::Finished;
     startNext();
   }
@@ -474,25 +482,25 @@
   Server.send(Peer, Message);
 }
 
-wire::news sidecar_task::makeNews() const {
-  wire::news News;
-  News.set_incarnation(Incarnation);
-  News.set_config_index(Control.config().index());
-  News.set_stopping(Stopping);
-  News.set_has_lease(Control.hasLease());
-  News.set_running(uint32_t(Running));
-  News.set_queued(uint32_t(Queue.size()));
-  News.set_slots(uint32_t(slots()));
+wire::news sidecar_task::makeReport() const {
+  wire::news Report;
+  Report.set_incarnation(Incarnation);
+  Report.set_config_index(Control.config().index());
+  Report.set_stopping(Stopping);
+  Report.set_has_lease(Control.hasLease());
+  Report.set_running(uint32_t(Running));
+  Report.set_queued(uint32_t(Queue.size()));
+  Report.set_slots(uint32_t(slots()));
   if (managed())
     for (const version_name &Version : Loader.loaded())
-      News.add_versions(Version.text());
-  return News;
+      Report.add_versions(Version.text());
+  return Report;
 }
 
-void sidecar_task::sendNews() {
+void sidecar_task::sendReport() {
   wire::envelope Message;
-  *Message.mutable_news() = makeNews();
-  Told = {Message.news().running(), Message.news().queued()};
+  *Message.mutable_news() = makeReport();
+  LastSentLoad = {Message.news().running(), Message.news().queued()};
   for (const auto &[Peer, Since] : Entries)
     Server.send(Peer, Message);
 }
@@ -511,8 +519,8 @@
   };
   Request.OnDone = [this, Body](const fetch_result &Result) {
     LoadPending = false;
-    bool Good = Result.Error.empty() && Result.Status == 200;
-    if (auto Load = parseEngineLoad(*Body, steadySeconds()); Good && Load)
+    bool Valid = Result.Error.empty() && Result.Status == 200;
+    if (auto Load = parseEngineLoad(*Body, steadySeconds()); Valid && Load)
       EngineLoad = *Load;
   };
   Http.start(std::move(Request));
@@ -521,25 +529,25 @@
 void sidecar_task::tick() {
   double Now = steadySeconds();
   for (uint64_t Ticket : Queue.takeExpired(Now))
-    dropQueued(Ticket, error_kind::DeadlineExceeded,
-               "waited in the upstream's queue until it made no more sense");
+    rejectQueued(Ticket, error_kind::DeadlineExceeded,
+                 "the time allowed in the upstream's queue has passed");
   startNext();
   Table.expire(Now);
   std::erase_if(Entries, [&](const auto &Entry) {
-    return Now > Entry.second + EntryForgetSeconds;
+    return Now > Entry.second + EntryTimeoutSeconds;
   });
   settleForLostEntries(Now);
-  if (std::exchange(HasCrashReport, false))
+  if (std::exchange(CrashReportPending, false))
     Control.renewNow();
-  if (Now < NextLook)
+  if (Now < NextLoadCheckAt)
     return;
-  NextLook = Now + LookSeconds;
-  bool LeaseMoved = Control.hasLease() != ToldLease;
-  ToldLease = Control.hasLease();
+  NextLoadCheckAt = Now + LoadCheckSeconds;
+  bool LeaseChanged = Control.hasLease() != HadLease;
+  HadLease = Control.hasLease();
   told_load Load{uint32_t(Running), uint32_t(Queue.size())};
-  if (LeaseMoved || isNews(Told, Load, uint32_t(slots())))
-    sendNews();
-  orderVersions();
+  if (LeaseChanged || isNews(LastSentLoad, Load, uint32_t(slots())))
+    sendReport();
+  updateVersions();
   readEngineLoad();
   Metrics.gauge("sidecar_running", double(Running));
   Metrics.gauge("sidecar_queued", double(Queue.size()));
@@ -547,7 +555,7 @@
 
 void sidecar_task::drain() {
   Stopping = true;
-  sendNews();
+  sendReport();
   Control.renewNow();
 }
 
--- a/sidecar/sidecar_task.h
+++ b/sidecar/sidecar_task.h
@@ -1,7 +1,8 @@
 //===- sidecar_task.h - The sidecar role ------------------------*- C++ -*-===//
 //
-// The only way to its upstream: admits, queues, runs and cancels attempts,
-// streams answers under credit, and says how loaded it is.
+// All requests reach an upstream through its sidecar, which admits, queues,
+// runs and cancels attempts, streams responses under credit-based flow control,
+// and reports the upstream's load.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,19 +23,22 @@
 
 namespace olivevalve {
 
+/// Settings of the sidecar role.
 struct sidecar_options {
   std::string Node;
   std::string DataHall;
-  std::string Upstream;
-  std::string Address;   ///< Where entries connect.
-  std::string EngineUrl; ///< "http://IP:port", of the engine or service.
+  std::string Upstream;  ///< Name of the upstream that it serves.
+  std::string Address;   ///< "IP:port" where entries connect.
+  std::string EngineUrl; ///< "http://IP:port" of the engine or plain service.
   std::vector<control_member_address> Control;
 };
 
-/// Stored outcomes are answers of bookings and assignments: small. A larger one
-/// is stored without its body.
-constexpr size_t OutcomeBytes = 64 << 10;
+/// Largest response body that is stored as the outcome of a claimed attempt.
+/// Such responses, of bookings and assignments, are small. The outcome of a
+/// larger one is stored without its body.
+constexpr size_t MaxOutcomeBytes = 64 << 10;
 
+/// Serves one upstream.
 class sidecar_task {
 public:
   sidecar_task(link_context &Context, struct ev_loop *Loop, metrics &Metrics,
@@ -43,33 +47,36 @@
   bool bind() { return Server.bind(Options.Address); }
   std::string address() const { return Server.address(); }
   bool ready() const { return Control.hasLease() && !Stopping; }
-  /// Takes no new work; what runs goes on.
+  /// Refuses new attempts from now on; accepted ones are completed.
   void drain();
+  /// True if no attempt, bill or outcome is pending.
   bool drained();
+  /// Gives the lease back to control.
   void leave() { Control.leave(); }
 
 private:
-  struct running_attempt {
-    std::string Peer;
+  /// An attempt that is queued or running.
+  struct active_attempt {
+    std::string Peer; ///< Link to the entry that sent it.
     wire::attempt Attempt;
-    uint64_t Ticket = 0;
+    uint64_t Ticket = 0; ///< Its key in Attempts and in the queue.
     double Arrived = 0;
     double Started = 0;
     bool Running = false;
     http_client::fetch_id Fetch = 0;
-    uint32_t Credits = 0;
-    bool Paused = false;
+    uint32_t Credits = 0; ///< Frames that may be sent now.
+    bool Paused = false;  ///< The transfer waits for credits.
     uint32_t NextSequence = 0;
     int Status = 0;
     usage_scanner Usage;
-    /// Claimed attempts only: the answer, kept for whoever asks again.
+    /// Body of the response, to be stored; only for claimed attempts.
     std::string Outcome;
     std::string ContentType;
     bool claimed() const { return !Attempt.idempotency_key().empty(); }
   };
 
-  /// What an entry has not settled yet. If the entry dies first, the sidecar
-  /// hands the bill in itself.
+  /// Bill of a finished attempt that its entry has not settled yet. If the
+  /// entry is lost, the sidecar reports the bill to control itself.
   struct unsettled_bill {
     std::string Peer;
     double At = 0;
@@ -78,7 +85,7 @@
 
   void receive(const std::string &Peer, const wire::envelope &Message);
   void onSettle(const wire::settle &Settle);
-  void keepBill(const running_attempt &Work);
+  void holdBill(const active_attempt &Work);
   void settleForLostEntries(double Now);
   void onAttempt(const std::string &Peer, const wire::attempt &Attempt);
   void onCredit(const wire::credit &Credit);
@@ -90,30 +97,32 @@
               const absl::Status &Status);
   void enqueue(const std::string &Peer, const wire::attempt &Attempt);
   void startNext();
-  void start(running_attempt &Work, double Now);
+  void start(active_attempt &Work, double Now);
   bool onBytes(uint64_t Ticket, std::string_view Bytes);
   void onHead(uint64_t Ticket, int Status, std::string_view ContentType);
   void onDone(uint64_t Ticket, const fetch_result &Result);
-  void storeOutcome(const running_attempt &Work);
-  void sendEnd(const running_attempt &Work, error_kind Kind,
+  void storeOutcome(const active_attempt &Work);
+  void sendEnd(const active_attempt &Work, error_kind Kind,
                std::string_view Message);
-  void dropQueued(uint64_t Ticket, error_kind Kind, std::string_view Message);
-  void forget(uint64_t Ticket, attempt_progress Progress);
-  running_attempt *find(uint64_t Ticket);
-  running_attempt *find(const attempt_key &Key);
-  /// What entries choose by; they know which upstream the link leads to.
-  wire::news makeNews() const;
-  void sendNews();
+  void rejectQueued(uint64_t Ticket, error_kind Kind, std::string_view Message);
+  void removeAttempt(uint64_t Ticket, attempt_progress Progress);
+  active_attempt *find(uint64_t Ticket);
+  active_attempt *find(const attempt_key &Key);
+  /// The report by which entries choose among upstreams. The upstream's name is
+  /// not set, since entries know to which upstream a link leads.
+  wire::news makeReport() const;
+  /// Sends the report to all known entries.
+  void sendReport();
   void readEngineLoad();
   void tick();
   int64_t slots() const;
   bool isEngine() const;
   bool managed() const;
   void fillVersionLoads(wire::renew &Renew) const;
-  void orderVersions();
+  void updateVersions();
   absl::Status check(const wire::attempt &Attempt) const;
   watched_upstream engine() const;
-  void noteEngine(const running_attempt &Work, bool Answered);
+  void recordEngineResult(const active_attempt &Work, bool Answered);
 
   metrics &Metrics;
   sidecar_options Options;
@@ -126,23 +135,25 @@
   version_loader Loader;
   work_queue Queue;
   attempt_table Table;
-  std::map<uint64_t, running_attempt> Attempts; ///< By ticket.
+  std::map<uint64_t, active_attempt> Attempts; ///< By ticket.
   std::map<attempt_key, uint64_t> Tickets;
   std::map<attempt_key, unsettled_bill> Unsettled;
-  std::map<std::string, double> Entries; ///< Peers that want news, since when.
+  std::map<std::string, double> Entries; ///< Peers, by their last hello.
   uint64_t NextTicket = 1;
   int64_t Running = 0;
   crash_reports Reports;
   crash_watch Crashes;
-  uint64_t EngineStart = 0;    ///< Counts those that this process has seen.
-  double EngineEndedAt = 0;    ///< 0: not since it started last.
-  bool HasCrashReport = false; ///< That control is to be told soon.
+  uint64_t EngineGeneration =
+      0; ///< Engine starts that this process has detected.
+  /// When the engine was found to have crashed; 0: not since its last start.
+  double EngineCrashedAt = 0;
+  bool CrashReportPending = false; ///< The lease is to be renewed early for it.
   engine_load EngineLoad;
   bool LoadPending = false;
   bool Stopping = false;
-  double NextLook = 0;
-  told_load Told;         ///< The load that entries were last sent.
-  bool ToldLease = false; ///< Whether it held a lease at the last look.
+  double NextLoadCheckAt = 0;
+  told_load LastSentLoad; ///< Load in the last report to entries.
+  bool HadLease = false;  ///< Whether a lease was held at the last check.
   timer Timer;
 };
 
--- a/sidecar/version_loader.cpp
+++ b/sidecar/version_loader.cpp
@@ -1,4 +1,4 @@
-//===- version_loader.cpp - Orders versions from an engine ----------------===//
+//===- version_loader.cpp - Loading of assigned versions ------------------===//
 
 #include "sidecar/version_loader.h"
 #include "base/fields.h"
@@ -9,21 +9,21 @@
 
 namespace {
 
-constexpr int Ok = 200;
-constexpr int Refused = 409;
-constexpr double AskSeconds = 5;
-// Orders under one assignment before its part of the fence is used up; there is
-// one for each version that loses its last work.
-constexpr uint64_t OrdersOfIndex = 1 << 16;
+constexpr int OkStatus = 200;
+constexpr int ConflictStatus = 409;
+constexpr double RequestTimeoutSeconds = 5;
+// Range of fencing numbers for the orders under one assignment. Each version
+// whose last request in flight ends causes another order.
+constexpr uint64_t FencesPerAssignment = 1 << 16;
 
 } // namespace
 
 std::optional<engine_models> parseEngineModels(std::string_view Body) {
   json Object = json::parse(Body, nullptr, false);
-  bool Good = Object.is_object() && Object.contains("fence") &&
-              Object["fence"].is_number_unsigned() &&
-              Object.contains("loaded") && Object["loaded"].is_array();
-  if (!Good)
+  bool Valid = Object.is_object() && Object.contains("fence") &&
+               Object["fence"].is_number_unsigned() &&
+               Object.contains("loaded") && Object["loaded"].is_array();
+  if (!Valid)
     return std::nullopt;
   engine_models Models{Object["fence"].get<uint64_t>(), {}};
   for (const json &Name : Object["loaded"])
@@ -33,15 +33,15 @@
 }
 
 std::map<version_name, std::string>
-versionsToOrder(const load_wish &Wish,
+versionsToOrder(const load_wish &Assignment,
                 const std::map<version_name, std::string> &Held,
                 const std::set<version_name> &InUse) {
   std::map<version_name, std::string> Order;
   for (const auto &[Version, Name] : Held)
-    if (InUse.contains(Version) || Wish.Versions.contains(Version))
+    if (InUse.contains(Version) || Assignment.Versions.contains(Version))
       Order.emplace(Version, Name);
-  for (const auto &[Version, Name] : Wish.Versions)
-    if (Order.size() < Wish.Room)
+  for (const auto &[Version, Name] : Assignment.Versions)
+    if (Order.size() < Assignment.Room)
       Order.emplace(Version, Name);
   return Order;
 }
@@ -49,34 +49,35 @@
 version_loader::version_loader(http_client &Http, std::string EngineUrl)
     : Http(Http), Url(std::move(EngineUrl) + "/models") {}
 
-void version_loader::work(const load_wish &NewWish,
-                          const std::set<version_name> &InUse) {
+void version_loader::update(const load_wish &NewAssignment,
+                            const std::set<version_name> &InUse) {
   if (Pending)
     return;
-  Wish = NewWish;
-  for (const auto &[Version, Name] : Wish.Versions)
-    Known[Version] = Name;
+  Assignment = NewAssignment;
+  for (const auto &[Version, Name] : Assignment.Versions)
+    EngineNames[Version] = Name;
   std::map<version_name, std::string> Held;
   for (const version_name &Version : Loaded)
-    Held.emplace(Version, Known[Version]);
-  auto Next = versionsToOrder(Wish, Held, InUse);
-  Ordered = Ordered && Next == Target && Fence / OrdersOfIndex == Wish.Index;
-  Target = std::move(Next);
-  if (Ordered)
-    return ask("GET", "");
-  order();
+    Held.emplace(Version, EngineNames[Version]);
+  auto NewTarget = versionsToOrder(Assignment, Held, InUse);
+  Confirmed = Confirmed && NewTarget == Target &&
+              Fence / FencesPerAssignment == Assignment.Index;
+  Target = std::move(NewTarget);
+  if (Confirmed)
+    return sendRequest("GET", "");
+  sendOrder();
 }
 
-void version_loader::order() {
-  uint64_t First = Wish.Index * OrdersOfIndex;
+void version_loader::sendOrder() {
+  uint64_t First = Assignment.Index * FencesPerAssignment;
   Fence = std::max(Fence + 1, First);
   json Names = json::array();
   for (const auto &[Version, Name] : Target)
     Names.push_back(Name);
-  ask("PUT", json({{"fence", Fence}, {"models", Names}}).dump());
+  sendRequest("PUT", json({{"fence", Fence}, {"models", Names}}).dump());
 }
 
-void version_loader::ask(std::string Method, std::string Body) {
+void version_loader::sendRequest(std::string Method, std::string Body) {
   Pending = true;
   auto Answer = std::make_shared<std::string>();
   auto Status = std::make_shared<int>(0);
@@ -85,7 +86,7 @@
   Request.Url = Url;
   Request.Body = std::move(Body);
   Request.Headers = {"Content-Type: application/json"};
-  Request.TimeoutSeconds = AskSeconds;
+  Request.TimeoutSeconds = RequestTimeoutSeconds;
   Request.OnBytes = [Answer](std::string_view Bytes) {
     Answer->append(Bytes);
     return true;
@@ -93,35 +94,36 @@
   Request.OnDone = [this, Answer](const fetch_result &Result) {
     Pending = false;
     if (Result.Error.empty())
-      onAnswer(Result.Status, *Answer);
+      onResponse(Result.Status, *Answer);
     else
-      Ordered = false; // Whether an order was taken is not known: again.
+      Confirmed = false; // The engine may not have the order: send it again.
   };
   Http.start(std::move(Request));
 }
 
-// An engine that has taken an order with a higher number: of an earlier start
-// of this sidecar, then the next number goes above it; or of a later
-// assignment, then this sidecar waits until it has heard of that.
-void version_loader::onAnswer(int Status, std::string_view Body) {
+// A higher fencing number at the engine comes either from an earlier start of
+// this sidecar, and then the next order uses a number above it; or from a later
+// assignment, and then this sidecar waits until it receives that assignment.
+void version_loader::onResponse(int Status, std::string_view Body) {
   auto Models = parseEngineModels(Body);
-  if (!Models || (Status != Ok && Status != Refused)) {
-    Ordered = false;
-    logLine(log_level::Warning, "engine does not take orders of versions",
+  if (!Models || (Status != OkStatus && Status != ConflictStatus)) {
+    Confirmed = false;
+    logLine(log_level::Warning,
+            "unexpected response from the engine's model list",
             {{"url", Url}, {"status", Status}});
     return;
   }
-  // Else another's order stands, or the engine has started anew.
-  Ordered = Status == Ok && Models->Fence == Fence;
-  if (Models->Fence / OrdersOfIndex <= Wish.Index)
+  // Otherwise another order is in effect, or the engine has restarted.
+  Confirmed = Status == OkStatus && Models->Fence == Fence;
+  if (Models->Fence / FencesPerAssignment <= Assignment.Index)
     Fence = std::max(Fence, Models->Fence);
-  std::set<version_name> Now;
-  for (const auto &[Version, Name] : Known)
+  std::set<version_name> NowLoaded;
+  for (const auto &[Version, Name] : EngineNames)
     if (Models->Loaded.contains(Name))
-      Now.insert(Version);
-  if (Now == Loaded)
+      NowLoaded.insert(Version);
+  if (NowLoaded == Loaded)
     return;
-  Loaded = std::move(Now);
+  Loaded = std::move(NowLoaded);
   if (OnChanged)
     OnChanged();
 }
--- a/sidecar/version_loader.h
+++ b/sidecar/version_loader.h
@@ -1,10 +1,10 @@
-//===- version_loader.h - Orders versions from an engine --------*- C++ -*-===//
+//===- version_loader.h - Loading of assigned versions ----------*- C++ -*-===//
 //
-// Sees to it that the engine of a managed upstream holds the versions that
-// control has assigned. Orders are fenced: the number of each is above that of
-// all before it, whichever sidecar gave them, so that an engine which checks
-// refuses one that comes late or from a sidecar that time has passed by. For
-// an engine that does not check, what it holds is compared again and again.
+// Makes the engine of a managed upstream load the versions that control has
+// assigned. Every load order carries a fencing number above those of all orders
+// before it, whichever sidecar sent them. An engine that checks the number
+// refuses orders that are late or come from an outdated sidecar. For engines
+// that do not check it, the loaded versions are compared periodically.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,53 +22,59 @@
 
 namespace olivevalve {
 
-/// What an engine says that it holds.
+/// An engine's report of its state.
 struct engine_models {
-  uint64_t Fence = 0;           ///< Of the last order that it took.
-  std::set<std::string> Loaded; ///< In the engine's names.
+  uint64_t Fence = 0;           ///< Fencing number of the last accepted order.
+  std::set<std::string> Loaded; ///< By the engine's own model names.
 };
 
+/// Empty if \p Body is not a valid report.
 std::optional<engine_models> parseEngineModels(std::string_view Body);
 
-/// What control wants of an upstream.
+/// The versions that control has assigned to an upstream.
 struct load_wish {
   uint64_t Index = 0; ///< Of the assignment; orders of a later one win.
-  std::map<version_name, std::string> Versions; ///< To the engine's names.
-  size_t Room = 0;
+  std::map<version_name, std::string> Versions; ///< With the engine's names.
+  size_t Room = 0; ///< Versions that the engine can hold at once.
 };
 
-/// The versions to order now: those wanted, and those that still have work. A
-/// version with work is never unloaded; a new one waits until there is room.
+/// The versions to be loaded now: assigned versions and those that still have
+/// requests in flight, which are never unloaded. A newly assigned version waits
+/// until there is room.
 std::map<version_name, std::string>
-versionsToOrder(const load_wish &Wish,
+versionsToOrder(const load_wish &Assignment,
                 const std::map<version_name, std::string> &Held,
                 const std::set<version_name> &InUse);
 
+/// Keeps one engine on its assignment.
 class version_loader {
 public:
   version_loader(http_client &Http, std::string EngineUrl);
 
-  /// Takes the wish over and looks how far the engine is. Called again and
-  /// again, only while the sidecar holds a lease.
-  void work(const load_wish &Wish, const std::set<version_name> &InUse);
+  /// Adopts the assignment and starts a request that applies it or checks the
+  /// engine's state. Must be called periodically, and only while the sidecar
+  /// holds a lease. \p InUse are the versions with requests in flight.
+  void update(const load_wish &Assignment, const std::set<version_name> &InUse);
+  /// Versions that the engine reported last.
   const std::set<version_name> &loaded() const { return Loaded; }
 
-  std::function<void()> OnChanged; ///< loaded() is another.
+  std::function<void()> OnChanged; ///< Called when loaded() has changed.
 
 private:
-  void ask(std::string Method, std::string Body);
-  void onAnswer(int Status, std::string_view Body);
-  void order();
+  void sendRequest(std::string Method, std::string Body);
+  void onResponse(int Status, std::string_view Body);
+  void sendOrder();
 
   http_client &Http;
   std::string Url;
-  load_wish Wish;
-  std::map<version_name, std::string> Target; ///< What was or is to be ordered.
-  std::map<version_name, std::string> Known;  ///< Names of all wanted so far.
+  load_wish Assignment;
+  std::map<version_name, std::string> Target; ///< Versions of the last order.
+  /// The engine's names of all versions assigned so far.
+  std::map<version_name, std::string> EngineNames;
   std::set<version_name> Loaded;
-  uint64_t Fence = 0;   ///< Of the last order given.
-  bool Ordered = false; ///< Target was taken by the engine.
-  bool Pending = false;
+  uint64_t Fence = 0;     ///< Fencing number of the last order.
+  bool Confirmed = false; ///< The engine has accepted Target.
+  bool Pending = false;   ///< A request to the engine is open.
 };
 
 } // namespace olivevalve
