--- a/entry/request_task.cpp
+++ b/entry/request_task.cpp
@@ -426,7 +426,7 @@
           .Version = Used};
 }
 
-rated_answer request_task::rateRequest(uint64_t Micros) const {
+rated_answer request_task::answerToRate(uint64_t Micros) const {
   rated_answer ToRate = ratedAnswer(Version);
   ToRate.Question =
       Facts.Chat.Body.dump(-1, ' ', false, json::error_handler_t::replace);
@@ -447,7 +447,7 @@
   if (Rated && Arm.isCascade() && !Escalated)
     return rateFirstAnswer();
   if (Rated) {
-    rated_answer ToRate = rateRequest(Item->cost_micros());
+    rated_answer ToRate = answerToRate(Item->cost_micros());
     auto Self = shared_from_this();
     bool WasCascade = Arm.isCascade();
     Context.Rater.rate(ToRate, RatingTimeoutSeconds,
@@ -466,7 +466,7 @@
 // Rates the first answer of a cascade and delivers it if it is good enough.
 void request_task::rateFirstAnswer() {
   Stage = stage::Rating;
-  rated_answer ToRate = rateRequest(CostMicros);
+  rated_answer ToRate = answerToRate(CostMicros);
   double Threshold = escalationThreshold(
       {.QualityTarget = Facts.QualityTarget, .Policy = Facts.Policy});
   double Remaining = Facts.Deadline - steadySeconds();
--- a/entry/request_task.h
+++ b/entry/request_task.h
@@ -177,7 +177,7 @@
   rated_answer ratedAnswer(const version_name &Version) const;
   /// Like ratedAnswer(), with question and answer for the rating service and
   /// a cost of \p Micros millionths of a price unit.
-  rated_answer rateRequest(uint64_t Micros) const;
+  rated_answer answerToRate(uint64_t Micros) const;
   bool claimed() const { return !Facts.Key.empty(); }
 
   entry_context &Context;
--- a/sidecar/sidecar_task.h
+++ b/sidecar/sidecar_task.h
@@ -143,11 +143,12 @@
   int64_t Running = 0;
   crash_reports Reports;
   crash_watch Crashes;
-  uint64_t EngineGeneration =
-      0; ///< Engine starts that this process has detected.
+  /// Counts the engine starts that this process has detected.
+  uint64_t EngineGeneration = 0;
   /// When the engine was found to have crashed; 0: not since its last start.
   double EngineCrashedAt = 0;
-  bool CrashReportPending = false; ///< The lease is to be renewed early for it.
+  /// A crash is to be reported to control at once, by an early lease renewal.
+  bool CrashReportPending = false;
   engine_load EngineLoad;
   bool LoadPending = false;
   bool Stopping = false;
--- a/sidecar/version_loader.h
+++ b/sidecar/version_loader.h
@@ -33,7 +33,8 @@
 
 /// The versions that control has assigned to an upstream.
 struct load_wish {
-  uint64_t Index = 0; ///< Of the assignment; orders of a later one win.
+  /// Of the assignment. Orders under a later one have higher fencing numbers.
+  uint64_t Index = 0;
   std::map<version_name, std::string> Versions; ///< With the engine's names.
   size_t Room = 0; ///< Versions that the engine can hold at once.
 };
