--- a/entry/request_task.h
+++ b/entry/request_task.h
@@ -72,7 +72,7 @@
   /// Idempotency-Key; empty: the request may run more than once.
   std::string Key;
   double Arrived = 0;  ///< By steadySeconds().
-  double Deadline = 0; ///< By steadySeconds().
+  double Deadline = 0; ///< By steadySeconds(); below 0: the header is invalid.
   bool isChat() const { return Service.empty(); }
 };
 
--- a/entry/upstream_pool.h
+++ b/entry/upstream_pool.h
@@ -54,8 +54,8 @@
                 pool_options Options, message_handler OnMessage,
                 lost_handler OnLost);
 
-  /// Opens and closes links as the configuration requires. The replicas are
-  /// divided among \p Entries entries.
+  /// Opens and closes links as the configuration requires. The size of the
+  /// subset depends on how many \p Entries share the replicas.
   void configure(const catalog &Config, size_t Entries);
   /// Name of the upstream to use; empty: none. Upstreams with an open breaker
   /// are used only if there is no other.
