--- a/consensus/raft_core.cpp
+++ b/consensus/raft_core.cpp
@@ -1,4 +1,4 @@
-//===- raft_core.cpp - Agreement of the control VMs -----------------------===//
+//===- raft_core.cpp - Raft consensus of the control VMs ------------------===//
 
 #include "consensus/raft_core.h"
 #include <algorithm>
@@ -8,11 +8,12 @@
 
 namespace {
 
-// The leader trusts its lease a little less long than followers refuse votes:
-// clocks of two VMs may run apart by a part in a hundred.
-constexpr double LeaseTrust = 0.95;
-// A snapshot that was sent is not sent again within this.
-constexpr double SnapshotPatience = 2.0;
+// Length of the leader lease as a fraction of ElectionMin, for which followers
+// refuse votes. The clocks of two VMs may drift apart by 1 part in 100, so the
+// leader has to stop relying on its lease before followers may vote again.
+constexpr double LeaseSafetyFactor = 0.95;
+// An unacknowledged snapshot is sent again after this time, in seconds.
+constexpr double SnapshotResendSeconds = 2.0;
 
 constexpr std::array<std::string_view, 4> RoleNames = {
     "follower", "pre-candidate", "candidate", "leader"};
@@ -25,19 +26,20 @@
     : Options(std::move(NewOptions)), Random(Options.Seed),
       Hard(std::move(Durable.Hard)), Snapshot(std::move(Durable.Snapshot)),
       Log(Durable.Entries.begin(), Durable.Entries.end()) {
-  Commit = Delivered = Snapshot.Index;
-  Synced = HandedOut = lastIndex();
+  Commit = DeliveredIndex = Snapshot.Index;
+  SyncedIndex = TakenIndex = lastIndex();
   refreshMembers();
-  // A vote given, or a leader heard, just before a restart still binds.
-  LeaderContact = Now;
+  // This VM may have acknowledged a leader just before the restart. That leader
+  // relies on its lease, so votes are refused as after a contact with it.
+  LastLeaderContact = Now;
   LastNow = Now;
-  resetElection(Now);
+  resetElectionTimer(Now);
 }
 
 void raft_core::bootstrap(const std::string &Group, double Now) {
   Hard.Group = Group;
   Hard.Term = 1;
-  saveHard();
+  markHardStateDirty();
   wire::member_list First;
   wire::member *Self = First.add_members();
   Self->set_id(Options.Id);
@@ -46,7 +48,7 @@
   Self->set_disk(Options.Disk);
   Self->set_voter(true);
   append(First.SerializeAsString(), true);
-  LeaderContact = Now - Options.ElectionMin;
+  LastLeaderContact = Now - Options.ElectionMin;
   startPreVote(Now);
 }
 
@@ -56,7 +58,8 @@
   return Log[Index - Snapshot.Index - 1];
 }
 
-// Terms before the snapshot are not known: 0, which no entry has.
+// Returns 0, which is the term of no entry, for indexes that are not in the
+// log: those before the snapshot and those after the last entry.
 uint64_t raft_core::termAt(uint64_t Index) const {
   if (Index == Snapshot.Index)
     return Snapshot.Term;
@@ -65,22 +68,22 @@
   return entryAt(Index).term();
 }
 
-// A sender under a known number but with another disk is not that member.
-// Entries that add a member may not have come here yet, so an unknown number
-// is let through; its votes are not counted.
-bool raft_core::knownSender(const wire::raft &Message) const {
+// False if the sender uses the id of a member but has a different disk: it is
+// not that member. Unknown ids are accepted, since the entry that adds a new
+// member may not have arrived here yet; votes from unknown ids are not counted.
+bool raft_core::senderMatchesMember(const wire::raft &Message) const {
   const wire::member *Member = member(Message.from());
   return !Member || Member->disk() == Message.disk();
 }
 
-bool raft_core::upToDate(uint64_t Index, uint64_t Term) const {
+bool raft_core::isLogUpToDate(uint64_t Index, uint64_t Term) const {
   if (Term != lastTerm())
     return Term > lastTerm();
   return Index >= lastIndex();
 }
 
-wire::raft raft_core::make(wire::raft::raft_purpose Purpose,
-                           uint64_t To) const {
+wire::raft raft_core::makeMessage(wire::raft::raft_purpose Purpose,
+                                  uint64_t To) const {
   wire::raft Message;
   Message.set_purpose(Purpose);
   Message.set_group(Hard.Group);
@@ -91,32 +94,33 @@
   return Message;
 }
 
-void raft_core::resetElection(double Now) {
+void raft_core::resetElectionTimer(double Now) {
   std::uniform_real_distribution<double> Wait(Options.ElectionMin,
                                               Options.ElectionMax);
-  ElectionAt = Now + Wait(Random);
+  ElectionDeadline = Now + Wait(Random);
 }
 
 void raft_core::becomeFollower(uint64_t Term, uint64_t NewLeader, double Now) {
   if (Term > Hard.Term) {
     Hard.Term = Term;
     Hard.Vote = 0;
-    saveHard();
+    markHardStateDirty();
   }
   bool WasLeader = isLeader();
   Role = raft_role::Follower;
   Leader = NewLeader;
   Votes.clear();
   if (NewLeader)
-    LeaderContact = Now;
+    LastLeaderContact = Now;
   if (NewLeader || WasLeader)
-    resetElection(Now);
+    resetElectionTimer(Now);
 }
 
-// Asks first whether an election could be won: a VM that was cut off must not
-// raise the term and unseat a leader that the others still hear.
+// Asks the other voters whether an election could be won, without raising the
+// term. A VM that was partitioned must not depose a leader that the others
+// still have contact with.
 void raft_core::startPreVote(double Now) {
-  resetElection(Now);
+  resetElectionTimer(Now);
   if (!isVoter(Options.Id) || member(Options.Id)->disk() != Options.Disk)
     return;
   Role = raft_role::PreCandidate;
@@ -125,7 +129,7 @@
   for (const wire::member &Member : Members.members()) {
     if (!Member.voter() || Member.id() == Options.Id)
       continue;
-    wire::raft Message = make(wire::raft::PRE_VOTE, Member.id());
+    wire::raft Message = makeMessage(wire::raft::PRE_VOTE, Member.id());
     Message.set_term(Hard.Term + 1);
     Message.set_log_index(lastIndex());
     Message.set_log_term(lastTerm());
@@ -134,17 +138,17 @@
   countVote(Options.Id, Now);
 }
 
-void raft_core::startVote(double Now) {
-  resetElection(Now);
+void raft_core::startElection(double Now) {
+  resetElectionTimer(Now);
   Role = raft_role::Candidate;
   ++Hard.Term;
   Hard.Vote = Options.Id;
-  saveHard();
+  markHardStateDirty();
   Votes.clear();
   for (const wire::member &Member : Members.members()) {
     if (!Member.voter() || Member.id() == Options.Id)
       continue;
-    wire::raft Message = make(wire::raft::VOTE, Member.id());
+    wire::raft Message = makeMessage(wire::raft::VOTE, Member.id());
     Message.set_log_index(lastIndex());
     Message.set_log_term(lastTerm());
     Late.push_back(std::move(Message));
@@ -159,7 +163,7 @@
   if (Votes.size() < quorum())
     return;
   if (Role == raft_role::PreCandidate)
-    startVote(Now);
+    startElection(Now);
   else if (Role == raft_role::Candidate)
     becomeLeader(Now);
 }
@@ -171,20 +175,21 @@
   Peers.clear();
   for (const wire::member &Member : Members.members())
     if (Member.id() != Options.Id)
-      Peers[Member.id()] = {.Next = lastIndex() + 1, .LastHeard = Now};
-  // Entries of older terms count as committed only through one of the own.
-  FirstOwnIndex = append("", false);
+      Peers[Member.id()] = {.Next = lastIndex() + 1, .LastContact = Now};
+  // Raft commits entries of older terms only together with an entry of the
+  // leader's own term, so an empty one is appended at once.
+  TermStartIndex = append("", false);
   broadcast(Now, true);
 }
 
 void raft_core::tick(double Now) {
   LastNow = Now;
   if (!isLeader()) {
-    if (Now >= ElectionAt && !Hard.Group.empty())
+    if (Now >= ElectionDeadline && !Hard.Group.empty())
       startPreVote(Now);
     return;
   }
-  if (quorumHeard(Now, &peer::LastHeard) + Options.ElectionMax < Now) {
+  if (quorumContactTime(Now, &peer::LastContact) + Options.ElectionMax < Now) {
     becomeFollower(Hard.Term, 0, Now);
     return;
   }
@@ -193,8 +198,9 @@
     broadcast(Now, true);
 }
 
-// The time at which a quorum, this VM included, was last heard.
-double raft_core::quorumHeard(double Now, double peer::*Time) const {
+// Returns the latest time T such that a quorum of voters has a value of at
+// least T in the field \p Time. This VM counts with \p Now.
+double raft_core::quorumContactTime(double Now, double peer::*Time) const {
   std::vector<double> Times;
   for (const wire::member &Member : Members.members()) {
     if (!Member.voter())
@@ -212,20 +218,20 @@
 }
 
 bool raft_core::hasLeaderLease(double Now) const {
-  if (!isLeader() || Commit < FirstOwnIndex)
+  if (!isLeader() || Commit < TermStartIndex)
     return false;
-  double Heard = quorumHeard(Now, &peer::LastSentAcked);
-  return Now < Heard + Options.ElectionMin * LeaseTrust;
+  double QuorumSendTime = quorumContactTime(Now, &peer::LastAckedSend);
+  return Now < QuorumSendTime + Options.ElectionMin * LeaseSafetyFactor;
 }
 
 double raft_core::silence(uint64_t Id, double Now) const {
   auto It = Peers.find(Id);
-  return It == Peers.end() ? 0 : Now - It->second.LastHeard;
+  return It == Peers.end() ? 0 : Now - It->second.LastContact;
 }
 
 uint64_t raft_core::matchOf(uint64_t Id) const {
   if (Id == Options.Id)
-    return Synced;
+    return SyncedIndex;
   auto It = Peers.find(Id);
   return It == Peers.end() ? 0 : It->second.Match;
 }
@@ -238,17 +244,19 @@
   if (Message.purpose() == raft::ANNOUNCE)
     return onAnnounce(Message, Now);
   if (Message.group() != Hard.Group) {
-    // A VM without a group takes the group of the first leader that adds it.
-    bool Adopts = Hard.Group.empty() && (Message.purpose() == raft::APPEND ||
-                                         Message.purpose() == raft::SNAPSHOT);
-    if (!Adopts)
+    // A VM without a group joins that of the first leader that contacts it.
+    bool AdoptsGroup =
+        Hard.Group.empty() && (Message.purpose() == raft::APPEND ||
+                               Message.purpose() == raft::SNAPSHOT);
+    if (!AdoptsGroup)
       return;
     Hard.Group = Message.group();
-    saveHard();
+    markHardStateDirty();
   }
-  if (!knownSender(Message))
+  if (!senderMatchesMember(Message))
     return;
-  // A vote in a higher term must not disturb a VM that hears its leader.
+  // Vote requests are handled before the term is adopted: a candidate with a
+  // higher term must not depose a leader that this VM still has contact with.
   bool VoteRequest =
       Message.purpose() == raft::PRE_VOTE || Message.purpose() == raft::VOTE;
   if (VoteRequest)
@@ -275,44 +283,47 @@
 }
 
 void raft_core::onVoteRequest(const wire::raft &Message, double Now) {
-  bool Pre = Message.purpose() == wire::raft::PRE_VOTE;
-  bool HearsLeader = isLeader() || Now < LeaderContact + Options.ElectionMin;
-  bool Stranger = !isVoter(Message.from());
-  if (!Pre && !HearsLeader && !Stranger && Message.term() > Hard.Term)
+  bool IsPreVote = Message.purpose() == wire::raft::PRE_VOTE;
+  bool HasLeaderContact =
+      isLeader() || Now < LastLeaderContact + Options.ElectionMin;
+  bool NonVoter = !isVoter(Message.from());
+  if (!IsPreVote && !HasLeaderContact && !NonVoter &&
+      Message.term() > Hard.Term)
     becomeFollower(Message.term(), 0, Now);
-  bool Good = !HearsLeader && !Stranger &&
-              upToDate(Message.log_index(), Message.log_term());
-  if (Pre)
-    Good = Good && Message.term() > Hard.Term;
+  bool Granted = !HasLeaderContact && !NonVoter &&
+                 isLogUpToDate(Message.log_index(), Message.log_term());
+  if (IsPreVote)
+    Granted = Granted && Message.term() > Hard.Term;
   else
-    Good = Good && Message.term() == Hard.Term &&
-           (Hard.Vote == 0 || Hard.Vote == Message.from());
-  wire::raft Reply =
-      make(Pre ? wire::raft::PRE_VOTE_REPLY : wire::raft::VOTE_REPLY,
-           Message.from());
-  Reply.set_granted(Good);
-  if (Pre && Good)
+    Granted = Granted && Message.term() == Hard.Term &&
+              (Hard.Vote == 0 || Hard.Vote == Message.from());
+  wire::raft Reply = makeMessage(IsPreVote ? wire::raft::PRE_VOTE_REPLY
+                                           : wire::raft::VOTE_REPLY,
+                                 Message.from());
+  Reply.set_granted(Granted);
+  if (IsPreVote && Granted)
     Reply.set_term(Message.term());
-  if (!Pre && Good) {
+  if (!IsPreVote && Granted) {
     Hard.Vote = Message.from();
-    saveHard();
-    resetElection(Now);
+    markHardStateDirty();
+    resetElectionTimer(Now);
   }
   Late.push_back(std::move(Reply));
 }
 
 void raft_core::onVoteReply(const wire::raft &Message, double Now) {
-  bool Pre = Message.purpose() == wire::raft::PRE_VOTE_REPLY;
+  bool IsPreVote = Message.purpose() == wire::raft::PRE_VOTE_REPLY;
   if (!Message.granted())
     return;
-  if (Pre && Role == raft_role::PreCandidate && Message.term() == Hard.Term + 1)
+  if (IsPreVote && Role == raft_role::PreCandidate &&
+      Message.term() == Hard.Term + 1)
     countVote(Message.from(), Now);
-  if (!Pre && Role == raft_role::Candidate && Message.term() == Hard.Term)
+  if (!IsPreVote && Role == raft_role::Candidate && Message.term() == Hard.Term)
     countVote(Message.from(), Now);
 }
 
 void raft_core::onAppend(const wire::raft &Message, double Now) {
-  wire::raft Reply = make(wire::raft::APPEND_REPLY, Message.from());
+  wire::raft Reply = makeMessage(wire::raft::APPEND_REPLY, Message.from());
   Reply.set_sent_at(Message.sent_at());
   if (Message.term() < Hard.Term) {
     Reply.set_log_index(lastIndex());
@@ -321,10 +332,10 @@
   }
   becomeFollower(Message.term(), Message.from(), Now);
   uint64_t Previous = Message.log_index();
-  bool Fits =
+  bool LogMatches =
       Previous <= lastIndex() &&
       (Previous < Snapshot.Index || termAt(Previous) == Message.log_term());
-  if (!Fits) {
+  if (!LogMatches) {
     uint64_t Hint = std::min(lastIndex(), Previous ? Previous - 1 : 0);
     Reply.set_log_index(std::max(Hint, Commit));
     Late.push_back(std::move(Reply));
@@ -354,22 +365,23 @@
   if (!isLeader() || Message.term() != Hard.Term || It == Peers.end())
     return;
   peer &Peer = It->second;
-  Peer.LastHeard = Now;
-  Peer.LastSentAcked = std::max(Peer.LastSentAcked, Message.sent_at());
+  Peer.LastContact = Now;
+  Peer.LastAckedSend = std::max(Peer.LastAckedSend, Message.sent_at());
   if (!Message.granted()) {
-    // It answers what was sent before the last step back: what it lacks is on
-    // its way already.
-    if (Message.sent_at() < Peer.SteppedBackAt)
+    // This rejects a message sent before Next was last decreased. The missing
+    // entries have been sent again since.
+    if (Message.sent_at() < Peer.NextDecreasedAt)
       return;
-    Peer.SteppedBackAt = Now;
+    Peer.NextDecreasedAt = Now;
     Peer.Next =
         std::max(Peer.Match, std::min(Message.log_index(), Peer.Next - 1)) + 1;
-    Peer.SnapshotSent =
-        Peer.SnapshotSent && Now < Peer.SnapshotAt + SnapshotPatience;
-    // While a snapshot is under way there is nothing to probe for.
+    Peer.SnapshotInFlight = Peer.SnapshotInFlight &&
+                            Now < Peer.SnapshotSentAt + SnapshotResendSeconds;
+    // Without entries to send, a heartbeat probes for the matching index. This
+    // is pointless while the peer waits for a snapshot.
     return sendAppend(Message.from(), Now, Peer.Next > Snapshot.Index);
   }
-  Peer.SnapshotSent = false;
+  Peer.SnapshotInFlight = false;
   Peer.Match = std::max(Peer.Match, Message.log_index());
   Peer.Next = std::max(Peer.Next, Peer.Match + 1);
   advanceCommit();
@@ -381,7 +393,7 @@
   if (Message.term() < Hard.Term)
     return;
   becomeFollower(Message.term(), Message.from(), Now);
-  wire::raft Reply = make(wire::raft::APPEND_REPLY, Message.from());
+  wire::raft Reply = makeMessage(wire::raft::APPEND_REPLY, Message.from());
   Reply.set_sent_at(Message.sent_at());
   Reply.set_granted(true);
   if (Message.log_index() <= Commit) {
@@ -394,7 +406,7 @@
               .Members = Message.entries(0).data(),
               .Image = Message.snapshot()};
   Log.clear();
-  Commit = Delivered = HandedOut = Synced = Snapshot.Index;
+  Commit = DeliveredIndex = TakenIndex = SyncedIndex = Snapshot.Index;
   refreshMembers();
   Install = Snapshot;
   Reply.set_log_index(Snapshot.Index);
@@ -423,8 +435,8 @@
 
 void raft_core::truncateFrom(uint64_t Index) {
   Log.resize(Index - Snapshot.Index - 1);
-  HandedOut = std::min(HandedOut, Index - 1);
-  Synced = std::min(Synced, Index - 1);
+  TakenIndex = std::min(TakenIndex, Index - 1);
+  SyncedIndex = std::min(SyncedIndex, Index - 1);
   refreshMembers();
 }
 
@@ -439,27 +451,27 @@
 void raft_core::sendAppend(uint64_t To, double Now, bool Heartbeat) {
   peer &Peer = Peers[To];
   bool NeedsSnapshot = Peer.Next <= Snapshot.Index;
-  if (NeedsSnapshot && !Peer.SnapshotSent) {
-    wire::raft Message = make(wire::raft::SNAPSHOT, To);
+  if (NeedsSnapshot && !Peer.SnapshotInFlight) {
+    wire::raft Message = makeMessage(wire::raft::SNAPSHOT, To);
     Message.set_log_index(Snapshot.Index);
     Message.set_log_term(Snapshot.Term);
     Message.set_snapshot(Snapshot.Image);
     Message.add_entries()->set_data(Snapshot.Members);
     Message.set_sent_at(Now);
-    Peer.SnapshotSent = true;
-    Peer.SnapshotAt = Now;
+    Peer.SnapshotInFlight = true;
+    Peer.SnapshotSentAt = Now;
     Early.push_back(std::move(Message));
     return;
   }
   if (NeedsSnapshot && !Heartbeat)
     return;
-  wire::raft Message = make(wire::raft::APPEND, To);
+  wire::raft Message = makeMessage(wire::raft::APPEND, To);
   uint64_t Previous = NeedsSnapshot ? lastIndex() : Peer.Next - 1;
   Message.set_log_index(Previous);
   Message.set_log_term(termAt(Previous));
   Message.set_commit(Commit);
   Message.set_sent_at(Now);
-  if (unansweredBytes(Peer) <= Options.MaxUnansweredBytes)
+  if (inFlightBytes(Peer) <= Options.MaxInFlightBytes)
     addEntries(Previous, Message);
   if (Message.entries().empty() && !Heartbeat)
     return;
@@ -479,8 +491,9 @@
   }
 }
 
-// Entries before the snapshot are not counted: they travel in it.
-size_t raft_core::unansweredBytes(const peer &Peer) const {
+// Bytes of the entries sent and not acknowledged. Entries up to the snapshot
+// are not counted, since the peer gets them as part of the snapshot.
+size_t raft_core::inFlightBytes(const peer &Peer) const {
   size_t Bytes = 0;
   for (uint64_t I = std::max(Peer.Match, Snapshot.Index) + 1; I < Peer.Next;
        ++I)
@@ -491,7 +504,7 @@
 void raft_core::synced(uint64_t Index, uint64_t Term) {
   if (Index > lastIndex() || termAt(Index) != Term)
     return;
-  Synced = std::max(Synced, Index);
+  SyncedIndex = std::max(SyncedIndex, Index);
   if (isLeader())
     advanceCommit();
 }
@@ -504,13 +517,13 @@
   if (Matches.empty())
     return;
   std::sort(Matches.rbegin(), Matches.rend());
-  uint64_t Agreed = Matches[quorum() - 1];
-  if (Agreed > Commit && termAt(Agreed) == Hard.Term)
-    Commit = Agreed;
+  uint64_t QuorumMatch = Matches[quorum() - 1];
+  if (QuorumMatch > Commit && termAt(QuorumMatch) == Hard.Term)
+    Commit = QuorumMatch;
 }
 
 void raft_core::compact(uint64_t Index, std::string Image) {
-  if (Index <= Snapshot.Index || Index > Delivered)
+  if (Index <= Snapshot.Index || Index > DeliveredIndex)
     return;
   wire::member_list AtIndex;
   AtIndex.ParseFromString(Snapshot.Members);
@@ -528,17 +541,17 @@
 
 raft_output raft_core::take() {
   raft_output Output;
-  if (HardDirty)
+  if (HardStateDirty)
     Output.Hard = Hard;
-  HardDirty = false;
+  HardStateDirty = false;
   Output.Install = std::exchange(Install, std::nullopt);
-  for (uint64_t I = HandedOut + 1; I <= lastIndex(); ++I)
+  for (uint64_t I = TakenIndex + 1; I <= lastIndex(); ++I)
     Output.Entries.push_back(entryAt(I));
-  HandedOut = lastIndex();
+  TakenIndex = lastIndex();
   Output.Early = std::exchange(Early, {});
   Output.Late = std::exchange(Late, {});
-  for (; Delivered < Commit; ++Delivered)
-    Output.Committed.push_back(entryAt(Delivered + 1));
+  for (; DeliveredIndex < Commit; ++DeliveredIndex)
+    Output.Committed.push_back(entryAt(DeliveredIndex + 1));
   return Output;
 }
 
--- a/consensus/raft_core.h
+++ b/consensus/raft_core.h
@@ -1,13 +1,16 @@
-//===- raft_core.h - Agreement of the control VMs ---------------*- C++ -*-===//
+//===- raft_core.h - Raft consensus of the control VMs ----------*- C++ -*-===//
 //
-// The Raft protocol as a pure state machine: messages, ticks and disk
-// completions go in; messages, writes and committed entries come out. No
-// sockets, files or clocks, so that tests can drive any order of events.
+// The Raft protocol as a pure state machine: its inputs are messages, ticks and
+// disk completions, its outputs are messages, disk writes and committed
+// entries. It uses no sockets, files or clocks, so that tests can apply events
+// in any order.
 //
-// Beyond the basic protocol: pre-vote, check-quorum, a leader lease, learners,
-// one membership change at a time, and disk identities. A voter is the pair of
-// a number and a disk; a VM that comes back with another disk is a stranger
-// that must join as a learner, and votes under the old pair count for nothing.
+// Extensions to basic Raft: pre-vote, check-quorum, a leader lease, learners,
+// single-server membership changes, and disk identities. A voter is identified
+// by its member id together with the identity of its disk. A VM that restarts
+// with an empty disk has lost the votes it gave and the entries it stored, so
+// it has to rejoin as a learner, and its messages under the old disk identity
+// are ignored.
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,58 +28,71 @@
 
 namespace olivevalve {
 
-/// Times are seconds. Followers refuse votes for ElectionMin after they heard
-/// a leader, which is what the leader lease rests on.
+/// Settings of one member. All times are in seconds.
 struct raft_options {
-  uint64_t Id = 0;
-  uint64_t Disk = 0;
-  std::string Address;
-  std::string OperatorAddress; ///< Told to the other members.
-  double Heartbeat = 0.15;
+  uint64_t Id = 0;     ///< Member id, unique in the group and never 0.
+  uint64_t Disk = 0;   ///< Identity of the disk, see raft_storage::disk().
+  std::string Address; ///< Where the other members connect to.
+  /// Where operators connect to; stored in the member list, so that every
+  /// member can return it.
+  std::string OperatorAddress;
+  double Heartbeat = 0.15; ///< Interval at which a leader sends APPEND.
+  /// Shortest election timeout. A follower also refuses votes for this long
+  /// after its last contact with a leader; the leader lease relies on that.
   double ElectionMin = 0.7;
-  double ElectionMax = 1.2;
-  uint64_t Seed = 1;
-  size_t TargetVoters = 3;   ///< Learners become voters up to this count.
-  double SilentSeconds = 30; ///< A silent voter may be replaced after this.
-  size_t MaxBatchEntries = 256;
-  size_t MaxBatchBytes = 1 << 20;
-  /// Sent to one follower and not answered yet; bounds what the leader holds
-  /// for one that does not read.
-  size_t MaxUnansweredBytes = 2 << 20;
+  double ElectionMax = 1.2; ///< Longest election timeout.
+  uint64_t Seed = 1;        ///< Of the random election timeouts.
+  /// Learners are promoted to voters until there are this many voters.
+  size_t TargetVoters = 3;
+  /// A voter without contact for this long is removed if a learner that has
+  /// caught up can replace it.
+  double SilentSeconds = 30;
+  size_t MaxBatchEntries = 256;   ///< Most entries in one APPEND message.
+  size_t MaxBatchBytes = 1 << 20; ///< An APPEND ends once it exceeds this.
+  /// Most bytes of entries sent to one follower and not acknowledged. Bounds
+  /// the send queue of the leader when a follower does not read.
+  size_t MaxInFlightBytes = 2 << 20;
 };
 
-/// Term and vote; must be durable before any message that follows from them.
+/// Raft's persistent state besides the log. It must be on disk before any
+/// message that depends on it is sent.
 struct raft_hard_state {
   uint64_t Term = 0;
-  uint64_t Vote = 0;
+  uint64_t Vote = 0; ///< Member that got this VM's vote in Term; 0: none.
   std::string Group; ///< Random name of the group; empty before joining.
   bool operator==(const raft_hard_state &) const = default;
 };
 
+/// State of the group at the log entry Index, which replaces all entries up to
+/// it.
 struct raft_snapshot {
-  uint64_t Index = 0;
-  uint64_t Term = 0;
+  uint64_t Index = 0;  ///< Last entry it covers; 0: there is no snapshot.
+  uint64_t Term = 0;   ///< Of the entry Index.
   std::string Members; ///< Serialised wire::member_list at Index.
-  std::string Image;   ///< The state machine's.
+  std::string Image;   ///< Serialised replicated state machine at Index.
 };
 
-/// What a VM finds on its disk at start.
+/// State read from the disk when the process starts.
 struct raft_durable {
   raft_hard_state Hard;
   raft_snapshot Snapshot;
   std::vector<wire::log_entry> Entries; ///< Those after the snapshot.
 };
 
-/// What has to be done after inputs: write Hard, Install and Entries; once they
-/// are on disk call synced(), then send Late. Early may be sent before the
-/// sync, but not while Hard is unwritten: a term must not be seen before it
-/// is sure to be remembered.
+/// Work that the caller must do after it has passed in inputs: write Hard,
+/// Install and Entries, call synced() once they are on disk, then send the
+/// messages in Late. The messages in Early do not depend on Entries and may be
+/// sent before the sync. If Hard is set, they too have to wait for the write:
+/// other members must not see a term that this VM could lose in a crash.
 struct raft_output {
-  std::optional<raft_hard_state> Hard;
+  std::optional<raft_hard_state> Hard;  ///< Unset: unchanged.
   std::optional<raft_snapshot> Install; ///< Replaces log and state machine.
-  std::vector<wire::log_entry> Entries; ///< The first cuts off what is there.
+  /// To be appended to the log. Stored entries from the index of the first one
+  /// on are replaced.
+  std::vector<wire::log_entry> Entries;
   std::vector<wire::raft> Early;
   std::vector<wire::raft> Late;
+  /// To be applied to the state machine, in this order.
   std::vector<wire::log_entry> Committed;
   bool needsSync() const { return Hard || Install || !Entries.empty(); }
 };
@@ -84,27 +100,38 @@
 enum class raft_role : uint8_t { Follower, PreCandidate, Candidate, Leader };
 std::string_view nameOf(raft_role Role);
 
+/// One member of a Raft group. Every \p Now is in seconds on a monotonic clock
+/// and must not decrease from call to call.
 class raft_core {
 public:
   raft_core(raft_options Options, raft_durable Durable, double Now);
 
   /// Starts a new group with this VM as its only voter.
   void bootstrap(const std::string &Group, double Now);
+  /// Handles timeouts; to be called several times per heartbeat interval.
   void tick(double Now);
+  /// Handles a received message. Messages to another member, of another group
+  /// or under another disk identity are ignored.
   void step(const wire::raft &Message, double Now);
-  /// The index the command will have if it is committed; none if not leader.
+  /// Appends a command to the log. Returns the index it will have if it is
+  /// committed; none if this VM is not the leader.
   std::optional<uint64_t> propose(std::string Data);
-  /// Removes a member; false if not leader, unknown, itself, or another
-  /// membership change is still under way.
+  /// Proposes the removal of a member. False if this VM is not the leader, if
+  /// \p Id is unknown or this VM itself, or if another membership change or
+  /// the first entry of the leader's term is not committed yet.
   bool removeMember(uint64_t Id);
-  /// All entries handed out up to \p Index of term \p Term are on disk.
+  /// Reports that the entries returned by take(), up to \p Index of term
+  /// \p Term, are on disk.
   void synced(uint64_t Index, uint64_t Term);
-  /// Forgets entries up to \p Index, covered by the durable \p Image.
+  /// Discards the entries up to \p Index, which \p Image covers. Only entries
+  /// already returned as committed can be discarded.
   void compact(uint64_t Index, std::string Image);
+  /// Returns the work that has come up since the last call.
   raft_output take();
 
   raft_role role() const { return Role; }
   bool isLeader() const { return Role == raft_role::Leader; }
+  /// Member id of the current leader; 0: unknown.
   uint64_t leader() const { return Leader; }
   uint64_t term() const { return Hard.Term; }
   uint64_t id() const { return Options.Id; }
@@ -112,53 +139,61 @@
   uint64_t commitIndex() const { return Commit; }
   uint64_t lastIndex() const;
   uint64_t firstIndex() const { return Snapshot.Index + 1; }
+  /// The newest member list in the log, committed or not.
   const wire::member_list &members() const { return Members; }
-  /// True while no other VM can have become leader, and an entry of the own
-  /// term is committed, so that the state machine holds all that was accepted.
+  /// True while no other VM can have become leader and an entry of this
+  /// leader's term is committed. The state machine then includes every command
+  /// that was acknowledged to its sender.
   bool hasLeaderLease(double Now) const;
+  /// When this VM last became leader.
   double leaderSince() const { return LeaderSince; }
-  /// Seconds since \p Id was last heard, as leader.
+  /// Seconds since this leader's last contact with member \p Id; 0 if it has no
+  /// such peer.
   double silence(uint64_t Id, double Now) const;
+  /// Last log index known to be on the disk of member \p Id; 0 if unknown.
   uint64_t matchOf(uint64_t Id) const;
   const raft_snapshot &snapshot() const { return Snapshot; }
   const raft_hard_state &hardState() const { return Hard; }
   std::vector<wire::log_entry> entriesAfterSnapshot() const {
     return {Log.begin(), Log.end()};
   }
-  /// False while a change of members is not yet committed: the loss of a VM may
-  /// still undo it.
+  /// False while the newest membership change is not committed; the loss of a
+  /// VM may still revert it.
   bool membersSettled() const { return MembersIndex <= Commit; }
-  /// True if the members in force include this VM with this disk.
+  /// True if members() includes this VM with its present disk.
   bool isMember() const;
 
 private:
+  /// What the leader tracks of another member. Times are on the own clock.
   struct peer {
-    uint64_t Next = 1;
-    uint64_t Match = 0;
-    double LastSentAcked = 0; ///< Own clock, when the last acked was sent.
-    double LastHeard = 0;
-    bool SnapshotSent = false;
-    double SnapshotAt = 0;
-    double SteppedBackAt = 0; ///< When entries were begun to be sent again.
+    uint64_t Next = 1;  ///< Index of the next entry to send.
+    uint64_t Match = 0; ///< Last index known to be on the peer's disk.
+    /// When the newest message that the peer has acknowledged was sent.
+    double LastAckedSend = 0;
+    double LastContact = 0;        ///< When the last reply was received.
+    bool SnapshotInFlight = false; ///< A snapshot is sent and not acknowledged.
+    double SnapshotSentAt = 0;     ///< When that snapshot was sent.
+    /// When Next was last decreased after a rejected APPEND.
+    double NextDecreasedAt = 0;
   };
 
   const wire::member *member(uint64_t Id) const;
   bool isVoter(uint64_t Id) const;
-  bool knownSender(const wire::raft &Message) const;
+  bool senderMatchesMember(const wire::raft &Message) const;
   size_t voters() const;
   size_t quorum() const { return voters() / 2 + 1; }
   uint64_t termAt(uint64_t Index) const;
   const wire::log_entry &entryAt(uint64_t Index) const;
   uint64_t lastTerm() const { return termAt(lastIndex()); }
-  bool upToDate(uint64_t Index, uint64_t Term) const;
-  wire::raft make(wire::raft::raft_purpose Purpose, uint64_t To) const;
-  void saveHard() { HardDirty = true; }
+  bool isLogUpToDate(uint64_t Index, uint64_t Term) const;
+  wire::raft makeMessage(wire::raft::raft_purpose Purpose, uint64_t To) const;
+  void markHardStateDirty() { HardStateDirty = true; }
 
   void becomeFollower(uint64_t Term, uint64_t NewLeader, double Now);
   void startPreVote(double Now);
-  void startVote(double Now);
+  void startElection(double Now);
   void becomeLeader(double Now);
-  void resetElection(double Now);
+  void resetElectionTimer(double Now);
   void countVote(uint64_t From, double Now);
 
   void onVoteRequest(const wire::raft &Message, double Now);
@@ -175,38 +210,41 @@
   void maintainMembers(double Now);
   void sendAppend(uint64_t To, double Now, bool Heartbeat);
   void addEntries(uint64_t Previous, wire::raft &Message) const;
-  size_t unansweredBytes(const peer &Peer) const;
+  size_t inFlightBytes(const peer &Peer) const;
   void broadcast(double Now, bool Heartbeat);
   void advanceCommit();
-  double quorumHeard(double Now, double peer::*Time) const;
+  double quorumContactTime(double Now, double peer::*Time) const;
 
   raft_options Options;
   std::mt19937_64 Random;
   raft_hard_state Hard;
   raft_snapshot Snapshot;
-  std::deque<wire::log_entry> Log;
+  std::deque<wire::log_entry> Log; ///< Entries after Snapshot.
   wire::member_list Members;
-  uint64_t MembersIndex = 0;
+  uint64_t MembersIndex = 0; ///< Entry that holds Members; 0: the snapshot.
 
   raft_role Role = raft_role::Follower;
   uint64_t Leader = 0;
   uint64_t Commit = 0;
-  uint64_t Delivered = 0; ///< Committed entries handed out.
-  uint64_t Synced = 0;
-  uint64_t HandedOut = 0; ///< Entries given to the disk.
-  double LeaderContact = 0;
-  double ElectionAt = 0;
+  /// Last entry returned in raft_output::Committed.
+  uint64_t DeliveredIndex = 0;
+  uint64_t SyncedIndex = 0; ///< Last entry known to be on the own disk.
+  uint64_t TakenIndex = 0;  ///< Last entry returned in raft_output::Entries.
+  /// Last contact with a leader; votes are refused for ElectionMin after it.
+  double LastLeaderContact = 0;
+  double ElectionDeadline = 0; ///< When the election timeout ends.
   double NextHeartbeat = 0;
   double LeaderSince = 0;
-  uint64_t FirstOwnIndex = 0;
-  std::map<uint64_t, bool> Votes;
+  /// As leader: index of the first entry appended in the own term.
+  uint64_t TermStartIndex = 0;
+  std::map<uint64_t, bool> Votes; ///< Members that granted their vote.
   std::map<uint64_t, peer> Peers;
 
-  bool HardDirty = false;
+  bool HardStateDirty = false;
   std::optional<raft_snapshot> Install;
   std::vector<wire::raft> Early;
   std::vector<wire::raft> Late;
-  double LastNow = 0;
+  double LastNow = 0; ///< Time of the last tick() or step().
 };
 
 } // namespace olivevalve
--- a/consensus/raft_members.cpp
+++ b/consensus/raft_members.cpp
@@ -1,7 +1,8 @@
-//===- raft_members.cpp - Who belongs to the group ------------------------===//
+//===- raft_members.cpp - Membership changes of the Raft group ------------===//
 //
-// The part of raft_core that changes the membership, one VM at a time: joins,
-// learners that become voters, voters that are replaced or removed.
+// The part of raft_core that changes the member list, one VM at a time: new
+// members join as learners, learners are promoted to voters, and members are
+// replaced or removed.
 //
 //===----------------------------------------------------------------------===//
 
@@ -33,23 +34,23 @@
                               [](const auto &M) { return M.voter(); }));
 }
 
-// A VM without a group asks to join. Under a number that is a member with
-// another disk it lost its disk: the old pair is taken out and the new one
-// comes in as a learner, in one change that removes at most one voter.
+// Handles the request of a VM without a group to join. If its id is that of a
+// member with another disk, the VM has lost its disk: one change replaces the
+// old member by the new one as a learner, so that it removes at most one voter.
 void raft_core::onAnnounce(const wire::raft &Message, double Now) {
-  wire::raft Reply = make(wire::raft::ANNOUNCE_REPLY, Message.from());
+  wire::raft Reply = makeMessage(wire::raft::ANNOUNCE_REPLY, Message.from());
   Reply.set_address(Options.Address);
-  if (const wire::member *Known = member(Leader))
-    Reply.set_leader_address(Known->address());
+  if (const wire::member *LeaderMember = member(Leader))
+    Reply.set_leader_address(LeaderMember->address());
   Late.push_back(std::move(Reply));
-  bool Ready = isLeader() && membersSettled() && Commit >= FirstOwnIndex;
-  const wire::member *Present = member(Message.from());
-  bool Known = Present && Present->disk() == Message.disk();
-  if (!Ready || Known || Message.from() == Options.Id)
+  bool Ready = isLeader() && membersSettled() && Commit >= TermStartIndex;
+  const wire::member *Existing = member(Message.from());
+  bool AlreadyMember = Existing && Existing->disk() == Message.disk();
+  if (!Ready || AlreadyMember || Message.from() == Options.Id)
     return;
-  // Taking out a voter must leave a quorum that answers.
-  if (Present && Present->voter() &&
-      quorumHeard(Now, &peer::LastHeard) + Options.ElectionMax < Now)
+  // A voter is removed only while the leader has contact with a quorum.
+  if (Existing && Existing->voter() &&
+      quorumContactTime(Now, &peer::LastContact) + Options.ElectionMax < Now)
     return;
   wire::member_list Next;
   for (const wire::member &Member : Members.members())
@@ -61,20 +62,21 @@
   Joining->set_operator_address(Message.operator_address());
   Joining->set_disk(Message.disk());
   proposeMembers(Next);
-  Peers[Message.from()] = {.Next = firstIndex(), .LastHeard = Now};
+  Peers[Message.from()] = {.Next = firstIndex(), .LastContact = Now};
 }
 
-// Makes voters of learners that have caught up, and takes out a voter that
-// has long been silent once such a learner can stand in for it.
+// Promotes learners that have caught up with the log while there are fewer than
+// TargetVoters voters. Once there are enough, such a learner allows the removal
+// of a voter without contact for SilentSeconds, which it then replaces.
 void raft_core::maintainMembers(double Now) {
-  if (!membersSettled() || Commit < FirstOwnIndex)
+  if (!membersSettled() || Commit < TermStartIndex)
     return;
   for (const wire::member &Learner : Members.members()) {
     if (Learner.voter())
       continue;
     const peer &Peer = Peers[Learner.id()];
-    bool CaughtUp =
-        Peer.Match + 16 >= Commit && Now - Peer.LastHeard < Options.ElectionMin;
+    bool CaughtUp = Peer.Match + 16 >= Commit &&
+                    Now - Peer.LastContact < Options.ElectionMin;
     if (!CaughtUp)
       continue;
     wire::member_list Next = Members;
@@ -94,7 +96,7 @@
 }
 
 bool raft_core::removeMember(uint64_t Id) {
-  if (!isLeader() || !membersSettled() || Commit < FirstOwnIndex ||
+  if (!isLeader() || !membersSettled() || Commit < TermStartIndex ||
       Id == Options.Id || !member(Id))
     return false;
   wire::member_list Next;
@@ -109,12 +111,13 @@
   append(Next.SerializeAsString(), true);
   for (const wire::member &Member : Members.members())
     if (Member.id() != Options.Id && !Peers.contains(Member.id()))
-      Peers[Member.id()] = {.Next = firstIndex(), .LastHeard = LastNow};
+      Peers[Member.id()] = {.Next = firstIndex(), .LastContact = LastNow};
   std::erase_if(Peers, [&](const auto &P) { return !member(P.first); });
   broadcast(LastNow, false);
 }
 
-// The newest membership in the log is in force, committed or not.
+// Sets Members to the newest member list in the log, committed or not, as Raft
+// requires for membership changes, or else to that of the snapshot.
 void raft_core::refreshMembers() {
   Members.Clear();
   MembersIndex = 0;
--- a/consensus/storage.cpp
+++ b/consensus/storage.cpp
@@ -1,4 +1,4 @@
-//===- storage.cpp - Log and snapshots on disk ----------------------------===//
+//===- storage.cpp - Raft log and snapshots on disk -----------------------===//
 
 #include "consensus/storage.h"
 #include "absl/strings/str_cat.h"
@@ -18,56 +18,60 @@
 
 namespace {
 
-// A record: magic, length of the body, checksum of length and body, body.
+// A record is a header of magic (4 bytes), length of the body (4 bytes) and
+// checksum of length and body (8 bytes), followed by the body. Integers are in
+// the byte order of the machine.
 constexpr uint32_t Magic = 0x4f56524cU;
 constexpr size_t HeaderBytes = 16;
-// First byte of a body.
+// Type of a log record, the first byte of its body.
 constexpr char EntryRecord = 'E';
-constexpr char HardRecord = 'H';
+constexpr char HardStateRecord = 'H';
 
-absl::Status failed(const std::string &What) {
+absl::Status ioError(const std::string &What) {
   return makeError(error_kind::StorageFailed,
                    What + ": " + std::strerror(errno));
 }
 
-uint64_t recordSum(uint32_t Length, std::string_view Body) {
+uint64_t recordChecksum(uint32_t Length, std::string_view Body) {
   return checksum(Body, Length);
 }
 
-std::string packRecord(std::string_view Body) {
+std::string encodeRecord(std::string_view Body) {
   uint32_t Length = uint32_t(Body.size());
-  uint64_t Sum = recordSum(Length, Body);
+  uint64_t Checksum = recordChecksum(Length, Body);
   std::string Record(HeaderBytes, '\0');
   std::memcpy(Record.data(), &Magic, 4);
   std::memcpy(Record.data() + 4, &Length, 4);
-  std::memcpy(Record.data() + 8, &Sum, 8);
+  std::memcpy(Record.data() + 8, &Checksum, 8);
   Record += Body;
   return Record;
 }
 
-/// The body of the record at \p Offset, or none if it is not intact.
+/// Returns the body of the record at \p Offset; none if the record is
+/// incomplete or corrupt.
 std::optional<std::string_view> recordAt(std::string_view Bytes,
                                          size_t Offset) {
   if (Bytes.size() - Offset < HeaderBytes)
     return std::nullopt;
   uint32_t FoundMagic = 0;
   uint32_t Length = 0;
-  uint64_t Sum = 0;
+  uint64_t Checksum = 0;
   std::memcpy(&FoundMagic, Bytes.data() + Offset, 4);
   std::memcpy(&Length, Bytes.data() + Offset + 4, 4);
-  std::memcpy(&Sum, Bytes.data() + Offset + 8, 8);
+  std::memcpy(&Checksum, Bytes.data() + Offset + 8, 8);
   size_t Left = Bytes.size() - Offset - HeaderBytes;
   if (FoundMagic != Magic || Length > Left)
     return std::nullopt;
   std::string_view Body = Bytes.substr(Offset + HeaderBytes, Length);
-  if (recordSum(Length, Body) != Sum)
+  if (recordChecksum(Length, Body) != Checksum)
     return std::nullopt;
   return Body;
 }
 
-// A damaged length could make a damaged middle look like a torn tail, so any
-// intact record further on decides.
-bool intactRecordAfter(std::string_view Bytes, size_t Offset) {
+// Tells a corrupt record in the middle of the log from an incomplete one at its
+// end. The length of a corrupt record cannot be trusted, so any intact record
+// at a later offset counts.
+bool hasIntactRecordAfter(std::string_view Bytes, size_t Offset) {
   std::string_view MagicText(reinterpret_cast<const char *>(&Magic), 4);
   for (size_t At = Bytes.find(MagicText, Offset + 1);
        At != std::string_view::npos; At = Bytes.find(MagicText, At + 1))
@@ -76,17 +80,17 @@
   return false;
 }
 
-std::string packHard(const raft_hard_state &Hard) {
-  std::string Body(17, HardRecord);
+std::string encodeHardState(const raft_hard_state &Hard) {
+  std::string Body(17, HardStateRecord);
   std::memcpy(Body.data() + 1, &Hard.Term, 8);
   std::memcpy(Body.data() + 9, &Hard.Vote, 8);
-  return packRecord(Body + Hard.Group);
+  return encodeRecord(Body + Hard.Group);
 }
 
-std::string packEntry(const wire::log_entry &Entry) {
+std::string encodeEntry(const wire::log_entry &Entry) {
   std::string Body(1, EntryRecord);
   Entry.AppendToString(&Body);
-  return packRecord(Body);
+  return encodeRecord(Body);
 }
 
 std::string readAll(const std::string &Path) {
@@ -108,30 +112,30 @@
   return true;
 }
 
-// Written aside, synced, renamed over, and the folder synced: after a crash
-// either the old or the new file is there whole.
+// Replaces a file atomically: writes and syncs a temporary file, renames it and
+// syncs the folder. After a crash either the old or the new file is complete.
 absl::Status replaceFile(const std::string &Folder, const std::string &Name,
                          std::string_view Bytes) {
   std::string Path = Folder + "/" + Name;
-  std::string Aside = Path + ".new";
+  std::string TempPath = Path + ".new";
   int File =
-      ::open(Aside.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
+      ::open(TempPath.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
   if (File < 0)
-    return failed(Aside);
-  bool Good = writeAll(File, Bytes) && fsync(File) == 0;
+    return ioError(TempPath);
+  bool Done = writeAll(File, Bytes) && fsync(File) == 0;
   close(File);
-  if (!Good || rename(Aside.c_str(), Path.c_str()) != 0)
-    return failed(Path);
+  if (!Done || rename(TempPath.c_str(), Path.c_str()) != 0)
+    return ioError(Path);
   int Directory = ::open(Folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-  Good = Directory >= 0 && fsync(Directory) == 0;
+  Done = Directory >= 0 && fsync(Directory) == 0;
   if (Directory >= 0)
     close(Directory);
-  return Good ? absl::OkStatus() : failed(Folder);
+  return Done ? absl::OkStatus() : ioError(Folder);
 }
 
 bool exists(const std::string &Path) { return access(Path.c_str(), F_OK) == 0; }
 
-void takeHard(std::string_view Body, raft_hard_state &Hard) {
+void decodeHardState(std::string_view Body, raft_hard_state &Hard) {
   std::memcpy(&Hard.Term, Body.data() + 1, 8);
   std::memcpy(&Hard.Vote, Body.data() + 9, 8);
   Hard.Group = std::string(Body.substr(17));
@@ -144,16 +148,16 @@
   std::unique_ptr<raft_storage> Storage(new raft_storage());
   Storage->Folder = Folder;
   if (mkdir(Folder.c_str(), 0700) != 0 && errno != EEXIST)
-    return failed(Folder);
+    return ioError(Folder);
   if (chmod(Folder.c_str(), 0700) != 0)
-    return failed(Folder);
+    return ioError(Folder);
   std::string Lock = Folder + "/lock";
   Storage->LockFile = ::open(Lock.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
   if (Storage->LockFile < 0)
-    return failed(Lock);
+    return ioError(Lock);
   if (flock(Storage->LockFile, LOCK_EX | LOCK_NB) != 0)
     return makeError(error_kind::StorageFailed,
-                     Folder + ": is used by another process");
+                     Folder + ": is locked by another process");
   for (auto Step : {&raft_storage::loadIdentity, &raft_storage::loadSnapshot,
                     &raft_storage::loadLog, &raft_storage::openLog})
     if (absl::Status Status = ((*Storage).*Step)(); !Status.ok())
@@ -172,14 +176,14 @@
   std::string Path = Folder + "/identity";
   if (!exists(Path)) {
     Disk = randomIncarnation();
-    return replaceFile(Folder, "identity", packRecord(hexOf(Disk)));
+    return replaceFile(Folder, "identity", encodeRecord(hexOf(Disk)));
   }
   std::string Bytes = readAll(Path);
   auto Body = recordAt(Bytes, 0);
   if (!Body)
     return makeError(error_kind::StorageFailed,
-                     Path + ": is damaged; move the folder away to let this "
-                            "VM join anew as a learner");
+                     Path + ": is corrupt; move the folder away to let this "
+                            "VM rejoin as a learner");
   Disk = std::stoull(std::string(*Body), nullptr, 16);
   return absl::OkStatus();
 }
@@ -193,8 +197,8 @@
   wire::raft Stored;
   if (!Body || !Stored.ParseFromArray(Body->data(), int(Body->size())))
     return makeError(error_kind::StorageFailed,
-                     Path + ": is damaged; move the folder away to let this "
-                            "VM join anew as a learner");
+                     Path + ": is corrupt; move the folder away to let this "
+                            "VM rejoin as a learner");
   Durable.Snapshot = {.Index = Stored.log_index(),
                       .Term = Stored.log_term(),
                       .Members = Stored.entries(0).data(),
@@ -215,8 +219,8 @@
     if (!Body)
       break;
     wire::log_entry Entry;
-    if ((*Body)[0] == HardRecord) {
-      takeHard(*Body, Durable.Hard);
+    if ((*Body)[0] == HardStateRecord) {
+      decodeHardState(*Body, Durable.Hard);
     } else if (Entry.ParseFromArray(Body->data() + 1, int(Body->size() - 1))) {
       auto &Entries = Durable.Entries;
       while (!Entries.empty() && Entries.back().index() >= Entry.index())
@@ -231,14 +235,14 @@
     }
     Offset += HeaderBytes + Body->size();
   }
-  LastHard = Durable.Hard;
+  LastHardState = Durable.Hard;
   LogBytes = Offset;
-  CutBytes = Bytes.size() - Offset;
-  if (CutBytes && intactRecordAfter(Bytes, Offset))
+  TruncatedBytes = Bytes.size() - Offset;
+  if (TruncatedBytes && hasIntactRecordAfter(Bytes, Offset))
     return makeError(error_kind::StorageFailed,
-                     absl::StrCat(Path, ": damaged at byte ", Offset,
-                                  " with intact records after it; move the "
-                                  "folder away to let this VM join anew as a "
+                     absl::StrCat(Path, ": corrupt record at byte ", Offset,
+                                  ", followed by intact records; move the "
+                                  "folder away to let this VM rejoin as a "
                                   "learner"));
   return absl::OkStatus();
 }
@@ -250,13 +254,13 @@
   LogFile = ::open(Path.c_str(), O_WRONLY | O_CREAT | O_CLOEXEC, 0600);
   if (LogFile < 0 || ftruncate(LogFile, off_t(LogBytes)) != 0 ||
       lseek(LogFile, off_t(LogBytes), SEEK_SET) < 0 || fsync(LogFile) != 0)
-    return failed(Path);
+    return ioError(Path);
   return absl::OkStatus();
 }
 
 absl::Status raft_storage::append(const std::string &Bytes) {
   if (!writeAll(LogFile, Bytes) || fdatasync(LogFile) != 0)
-    return failed(Folder + "/log");
+    return ioError(Folder + "/log");
   LogBytes += Bytes.size();
   ++Syncs;
   return absl::OkStatus();
@@ -264,19 +268,19 @@
 
 absl::Status raft_storage::write(const raft_output &Output) {
   if (Output.Hard)
-    LastHard = *Output.Hard;
+    LastHardState = *Output.Hard;
   if (Output.Install)
-    return compact(*Output.Install, LastHard, Output.Entries);
+    return compact(*Output.Install, LastHardState, Output.Entries);
   std::string Bytes;
   if (Output.Hard)
-    Bytes += packHard(*Output.Hard);
+    Bytes += encodeHardState(*Output.Hard);
   for (const wire::log_entry &Entry : Output.Entries)
-    Bytes += packEntry(Entry);
+    Bytes += encodeEntry(Entry);
   return Bytes.empty() ? absl::OkStatus() : append(Bytes);
 }
 
-// The snapshot goes first: a crash between the two leaves an old log whose
-// entries up to the snapshot are skipped at start.
+// The snapshot is written before the log. After a crash between the two writes,
+// loadLog() skips the entries of the old log that the new snapshot covers.
 absl::Status raft_storage::compact(const raft_snapshot &Snapshot,
                                    const raft_hard_state &Hard,
                                    const std::vector<wire::log_entry> &Tail) {
@@ -288,16 +292,16 @@
   Stored.set_snapshot(Snapshot.Image);
   Stored.add_entries()->set_data(Snapshot.Members);
   absl::Status Status =
-      replaceFile(Folder, "snapshot", packRecord(Stored.SerializeAsString()));
+      replaceFile(Folder, "snapshot", encodeRecord(Stored.SerializeAsString()));
   if (!Status.ok())
     return Status;
-  std::string Bytes = packHard(Hard);
+  std::string Bytes = encodeHardState(Hard);
   for (const wire::log_entry &Entry : Tail)
-    Bytes += packEntry(Entry);
+    Bytes += encodeEntry(Entry);
   Status = replaceFile(Folder, "log", Bytes);
   if (!Status.ok())
     return Status;
-  LastHard = Hard;
+  LastHardState = Hard;
   LogBytes = Bytes.size();
   ++Syncs;
   return openLog();
--- a/consensus/storage.h
+++ b/consensus/storage.h
@@ -1,8 +1,10 @@
-//===- storage.h - Log and snapshots on disk --------------------*- C++ -*-===//
+//===- storage.h - Raft log and snapshots on disk ---------------*- C++ -*-===//
 //
-// One folder holds the disk's identity, one snapshot and one log file. Every
-// record carries a checksum. At start a torn tail is cut off; damage before
-// intact records stops the process, since synced promises would be lost.
+// One folder holds the disk identity, one snapshot and one log file. Every
+// record has a checksum. When the log is opened, an incomplete record at its
+// end, left by a crash during a write, is truncated. A corrupt record that is
+// followed by intact ones is an error: records that were synced and
+// acknowledged to other members would be lost.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,31 +17,36 @@
 
 namespace olivevalve {
 
+/// The persistent state of one Raft member.
 class raft_storage {
 public:
-  /// Opens or creates the folder (mode 0700) and locks it against a second
-  /// process.
+  /// Opens or creates the folder (mode 0700), takes an exclusive lock on it and
+  /// reads what it holds. StorageFailed: an I/O error, a corrupt file, or a
+  /// folder locked by another process.
   static absl::StatusOr<std::unique_ptr<raft_storage>>
   open(const std::string &Folder);
   ~raft_storage();
   raft_storage(const raft_storage &) = delete;
   raft_storage &operator=(const raft_storage &) = delete;
 
-  /// Random, written at first start; a new disk gets another.
+  /// Identity of the disk: a random number chosen when the folder is created.
   uint64_t disk() const { return Disk; }
-  /// What was found; taken once.
+  /// Moves out the state that open() has read; to be called once.
   raft_durable takeDurable() { return std::move(Durable); }
-  /// Bytes of a torn tail cut off at start.
-  uint64_t cutBytes() const { return CutBytes; }
+  /// Bytes of an incomplete last record that open() has truncated.
+  uint64_t truncatedBytes() const { return TruncatedBytes; }
 
-  /// Writes what an output asks for and syncs it. After an error nothing more
-  /// may be written: the caller must stop.
+  /// Writes Hard, Install and Entries of \p Output and syncs them. After an
+  /// error the state on disk is undefined and the caller must not write again.
   absl::Status write(const raft_output &Output);
-  /// Replaces snapshot and log: \p Tail are the entries after it.
+  /// Replaces the snapshot, and the log by \p Hard and \p Tail, the entries
+  /// after the snapshot.
   absl::Status compact(const raft_snapshot &Snapshot,
                        const raft_hard_state &Hard,
                        const std::vector<wire::log_entry> &Tail);
+  /// Existing length of the log file.
   uint64_t logBytes() const { return LogBytes; }
+  /// Number of synced writes since open().
   uint64_t syncs() const { return Syncs; }
 
 private:
@@ -51,14 +58,14 @@
   absl::Status append(const std::string &Bytes);
 
   std::string Folder;
-  int LockFile = -1;
-  int LogFile = -1;
+  int LockFile = -1; ///< File descriptor; -1: not open.
+  int LogFile = -1;  ///< File descriptor; -1: not open.
   uint64_t Disk = 0;
-  uint64_t CutBytes = 0;
+  uint64_t TruncatedBytes = 0;
   uint64_t LogBytes = 0;
   uint64_t Syncs = 0;
   raft_durable Durable;
-  raft_hard_state LastHard;
+  raft_hard_state LastHardState; ///< As last written or read.
 };
 
 } // namespace olivevalve
--- a/tests/consensus_test.cpp
+++ b/tests/consensus_test.cpp
@@ -350,7 +350,7 @@
       auto Storage = raft_storage::open(Path);
       BOOST_TEST(Storage.ok() == Case.Opens);
       if (!Storage.ok())
-        BOOST_TEST(messageOf(Storage.status()).find("damaged") !=
+        BOOST_TEST(messageOf(Storage.status()).find("corrupt") !=
                    std::string_view::npos);
       else
         BOOST_TEST((*Storage)->takeDurable().Entries.size() < 50U);
