--- a/ledger/bills.cpp
+++ b/ledger/bills.cpp
@@ -1,11 +1,11 @@
-//===- bills.cpp - Each request billed once -------------------------------===//
+//===- bills.cpp - Billing totals, each request billed once ---------------===//
 
 #include "ledger/bills.h"
 #include <iterator>
 
 namespace olivevalve {
 
-bool number_ranges::insert(uint64_t Number) {
+bool range_set::insert(uint64_t Number) {
   auto After = Ranges.upper_bound(Number);
   auto Before = After == Ranges.begin() ? Ranges.end() : std::prev(After);
   if (Before != Ranges.end() && Number <= Before->second)
@@ -23,15 +23,16 @@
 }
 
 bool bill_ledger::add(const wire::bill &Bill) {
-  if (!Counted[Bill.entry()].insert(Bill.request())) {
+  if (!CountedRequests[Bill.entry()].insert(Bill.request())) {
     ++Duplicates;
     return false;
   }
   for (int I = 0; I < Bill.items_size(); ++I) {
     const wire::bill_item &Item = Bill.items(I);
-    bill_sum &Sum = Totals[{Bill.account(), Item.model(), Item.version()}];
-    // The request counts where its answer came from; tokens and cost count
-    // for each version that worked on it.
+    bill_totals &Sum = Totals[{Bill.account(), Item.model(), Item.version()}];
+    // Tokens and cost count for every version that processed the request. The
+    // request itself counts once, for the version in the last item, which gave
+    // the answer.
     Sum.Requests += I + 1 == Bill.items_size() ? 1 : 0;
     Sum.InputTokens += Item.usage().input_tokens();
     Sum.CachedTokens += Item.usage().cached_tokens();
@@ -42,18 +43,18 @@
 }
 
 void bill_ledger::save(wire::state_image &Image) const {
-  for (const auto &[Entry, Set] : Counted)
+  for (const auto &[Entry, Set] : CountedRequests)
     for (const auto &[First, Last] : Set.ranges()) {
       wire::bill_range *Out = Image.add_ranges();
       Out->set_entry(Entry);
       Out->set_first(First);
       Out->set_last(Last);
     }
-  for (const auto &[Line, Sum] : Totals) {
+  for (const auto &[Key, Sum] : Totals) {
     wire::bill_total *Out = Image.add_totals();
-    Out->set_account(Line.Account);
-    Out->set_model(Line.Model);
-    Out->set_version(Line.Version);
+    Out->set_account(Key.Account);
+    Out->set_model(Key.Model);
+    Out->set_version(Key.Version);
     Out->set_requests(Sum.Requests);
     Out->set_input_tokens(Sum.InputTokens);
     Out->set_cached_tokens(Sum.CachedTokens);
@@ -63,10 +64,10 @@
 }
 
 void bill_ledger::load(const wire::state_image &Image) {
-  Counted.clear();
+  CountedRequests.clear();
   Totals.clear();
   for (const wire::bill_range &In : Image.ranges())
-    Counted[In.entry()].insertRange(In.first(), In.last());
+    CountedRequests[In.entry()].insertRange(In.first(), In.last());
   for (const wire::bill_total &In : Image.totals())
     Totals[{In.account(), In.model(), In.version()}] = {
         .Requests = In.requests(),
--- a/ledger/claims.cpp
+++ b/ledger/claims.cpp
@@ -1,4 +1,4 @@
-//===- claims.cpp - First writer wins -------------------------------------===//
+//===- claims.cpp - Claims of requests that run at most once --------------===//
 
 #include "ledger/claims.h"
 #include <algorithm>
@@ -7,14 +7,16 @@
 
 namespace {
 
-// A client may come back with its key for a day.
-constexpr double RequestSeconds = 24 * 3600;
-// A touch sooner than this after the last is not worth a new place in line.
-constexpr double TouchSeconds = 60;
+// Time after its last use for which a claim is kept: a client may retry with
+// the same Idempotency-Key for a day.
+constexpr double ClaimLifetimeSeconds = 24 * 3600;
+// Least interval between two recorded uses of a claim; bounds the length of
+// Touches when a client polls.
+constexpr double TouchIntervalSeconds = 60;
 
 } // namespace
 
-wire::claim_result claim_table::answer(const record &Record, bool Won) {
+wire::claim_result claim_table::resultFor(const record &Record, bool Won) {
   wire::claim_result Result;
   Result.set_won(Won);
   Result.set_value(Record.Value);
@@ -29,8 +31,9 @@
   return Result;
 }
 
-void claim_table::mark(const claim_key &Key, record &Record, double Now) {
-  if (Record.Touched != 0 && Now < Record.Touched + TouchSeconds)
+void claim_table::touchRecord(const claim_key &Key, record &Record,
+                              double Now) {
+  if (Record.Touched != 0 && Now < Record.Touched + TouchIntervalSeconds)
     return;
   Record.Touched = Now;
   Touches.push_back({Now, Key});
@@ -40,19 +43,19 @@
   expire(Now);
   claim_key Key{Claim.account(), Claim.key()};
   record &Record = Records[Key];
-  bool Fresh = Record.Touched == 0;
+  bool IsNew = Record.Touched == 0;
   bool Replaces = !Claim.replaces().empty() && !Record.Finished &&
                   Record.Value == Claim.replaces();
-  bool Again =
+  bool IsResend =
       !Record.Finished && !Record.Freed && Record.Value == Claim.value();
-  mark(Key, Record, Now);
-  if (!Fresh && !Record.Freed && !Replaces && !Again)
-    return answer(Record, false);
+  touchRecord(Key, Record, Now);
+  if (!IsNew && !Record.Freed && !Replaces && !IsResend)
+    return resultFor(Record, false);
   Record.Value = Claim.value();
   Record.RequestHash = Claim.request_hash();
   Record.Freed = false;
-  Record.Abandoned = Record.Abandoned && Again;
-  return answer(Record, true);
+  Record.Abandoned = Record.Abandoned && IsResend;
+  return resultFor(Record, true);
 }
 
 wire::claim_result claim_table::finish(const wire::finish &Finish, double Now) {
@@ -66,32 +69,32 @@
     return {};
   record &Record = It->second;
   if (Record.Finished || Record.Freed)
-    return answer(Record, true);
+    return resultFor(Record, true);
   if (Finish.free()) {
     Record.Freed = true;
-    return answer(Record, true);
+    return resultFor(Record, true);
   }
   if (Finish.abandoned()) {
     Record.Abandoned = true;
-    return answer(Record, true);
+    return resultFor(Record, true);
   }
   Record.Finished = true;
   Record.Kind = Finish.kind();
   Record.Status = Finish.status();
   Record.ContentType = Finish.content_type();
   Record.Body = Finish.body();
-  mark(Key, Record, Now);
-  return answer(Record, true);
+  touchRecord(Key, Record, Now);
+  return resultFor(Record, true);
 }
 
 void claim_table::expire(double Now) {
   while (!Touches.empty()) {
     const touch &Front = Touches.front();
     auto It = Records.find(Front.Key);
-    bool Current = It != Records.end() && It->second.Touched == Front.Time;
-    if (Current && Front.Time + RequestSeconds > Now)
+    bool IsLastTouch = It != Records.end() && It->second.Touched == Front.Time;
+    if (IsLastTouch && Front.Time + ClaimLifetimeSeconds > Now)
       return;
-    if (Current)
+    if (IsLastTouch)
       Records.erase(It);
     Touches.pop_front();
   }
@@ -121,7 +124,8 @@
   Touches.clear();
   for (const wire::stored_claim &In : Image.claims()) {
     if (In.space() == "session")
-      continue; // A pin, written before these had a table of their own.
+      continue; // Older images hold session pins among the claims; see
+                // pins.cpp.
     claim_key Key{In.account(), In.key()};
     Records[Key] = {.Value = In.value(),
                     .RequestHash = In.request_hash(),
--- a/ledger/claims.h
+++ b/ledger/claims.h
@@ -1,8 +1,9 @@
-//===- claims.h - First writer wins -----------------------------*- C++ -*-===//
+//===- claims.h - Claims of requests that run at most once ------*- C++ -*-===//
 //
-// The claim of a request that may not be repeated has one winner over all
-// entries. Part of control's replicated state: deterministic, time comes from
-// the log.
+// A request that must not run twice is claimed under its Idempotency-Key before
+// it is sent to an upstream. Of several entries that claim the same key, the
+// first one wins. Part of control's replicated state: deterministic, the time
+// comes from the log.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,22 +17,27 @@
 
 namespace olivevalve {
 
+/// Identifies a claimed request.
 struct claim_key {
-  std::string Account;
-  std::string Key;
+  std::string Account; ///< Client account.
+  std::string Key;     ///< Idempotency-Key of the request.
   auto operator<=>(const claim_key &) const = default;
 };
 
+/// All claims and the stored outcomes of finished requests. Times are in
+/// seconds since the epoch.
 class claim_table {
 public:
-  /// Stores the value if there is none, if the one present was freed, or if it
-  /// is the one that the claim says it replaces. The same value again wins
-  /// again: it is the same claim, resent.
+  /// Stores the value of \p Claim, which names an attempt, and wins if the key
+  /// has no value, if its claim was freed, or if its request is not finished
+  /// and its value is the one that the claim names in `replaces`. A claim with
+  /// the stored value wins too, since it is a resend.
   wire::claim_result claim(const wire::claim &Claim, double Now);
-  /// Stores the outcome of, frees or abandons a claim that is held by Finish's
-  /// attempt.
+  /// Stores the outcome of a claimed request, or frees or abandons its claim.
+  /// The result is empty if the claim is not held by the attempt that
+  /// \p Finish names.
   wire::claim_result finish(const wire::finish &Finish, double Now);
-  /// Drops what is past its time.
+  /// Removes claims that were not used for a day.
   void expire(double Now);
 
   size_t size() const { return Records.size(); }
@@ -40,27 +46,31 @@
 
 private:
   struct record {
-    std::string Value;
-    uint64_t RequestHash = 0;
-    double Touched = 0;
-    bool Finished = false;
-    bool Freed = false;
+    std::string Value;        ///< Serialised wire::claim_value.
+    uint64_t RequestHash = 0; ///< Tells another request with the same key.
+    double Touched = 0;       ///< Last use; 0: the record is new.
+    bool Finished = false;    ///< The outcome below is final.
+    bool Freed = false;       ///< The attempt never started.
+    /// The entry that holds the claim cannot find out the outcome; others may.
     bool Abandoned = false;
-    uint32_t Kind = 0;
-    uint32_t Status = 0;
+    uint32_t Kind = 0;   ///< error_kind as a number; 0: no error.
+    uint32_t Status = 0; ///< HTTP status of the answer.
     std::string ContentType;
     std::string Body;
   };
+  /// One use of a record.
   struct touch {
     double Time;
     claim_key Key;
   };
 
-  static wire::claim_result answer(const record &Record, bool Won);
-  void mark(const claim_key &Key, record &Record, double Now);
+  static wire::claim_result resultFor(const record &Record, bool Won);
+  void touchRecord(const claim_key &Key, record &Record, double Now);
 
   std::map<claim_key, record> Records;
-  std::deque<touch> Touches; ///< In order of time; a record's last counts.
+  /// Oldest first. A record expires by its last touch; earlier ones are
+  /// skipped.
+  std::deque<touch> Touches;
 };
 
 } // namespace olivevalve
--- a/ledger/pins.cpp
+++ b/ledger/pins.cpp
@@ -1,4 +1,4 @@
-//===- pins.cpp - The version each session keeps --------------------------===//
+//===- pins.cpp - Versions that sessions are pinned to --------------------===//
 
 #include "ledger/pins.h"
 #include <algorithm>
@@ -7,19 +7,21 @@
 
 namespace {
 
-// A session that was quiet this long starts anew.
-constexpr uint32_t QuietSeconds = 3600;
+// A session without a request for this long loses its pin.
+constexpr uint32_t IdleTimeoutSeconds = 3600;
 
-// A client account cannot reach a pin of another, whatever sessions it names:
-// the digest cannot be steered, and names of accounts hold no line break.
+// Key of a pin. A client account cannot access the pin of another one by its
+// choice of session names: names of accounts contain no line break, and digest
+// collisions cannot be constructed.
 short_digest keyOf(const std::string &Account, const std::string &Key) {
   return shortDigest(Account + "\n" + Key);
 }
 
 } // namespace
 
-uint32_t pin_table::numberOf(const std::string &Version) {
-  auto [It, New] = Numbers.try_emplace(Version, uint32_t(Versions.size()));
+uint32_t pin_table::versionIndex(const std::string &Version) {
+  auto [It, New] =
+      VersionIndexes.try_emplace(Version, uint32_t(Versions.size()));
   if (New)
     Versions.push_back(Version);
   return It->second;
@@ -28,67 +30,69 @@
 wire::claim_result pin_table::claim(const wire::claim &Claim, double Now) {
   expire(Now);
   short_digest Key = keyOf(Claim.account(), Claim.key());
-  auto [It, Fresh] = Pins.try_emplace(Key);
+  auto [It, IsNew] = Pins.try_emplace(Key);
   pin &Pin = It->second;
   Pin.Touched = uint32_t(Now);
-  if (Fresh)
-    Line.push_back({Key, Pin.Touched});
-  bool Replaces = !Fresh && !Claim.replaces().empty() &&
+  if (IsNew)
+    ExpiryQueue.push_back({Key, Pin.Touched});
+  bool Replaces = !IsNew && !Claim.replaces().empty() &&
                   Versions[Pin.Version] == Claim.replaces();
   wire::claim_result Result;
-  Result.set_won(Fresh || Replaces || Versions[Pin.Version] == Claim.value());
+  Result.set_won(IsNew || Replaces || Versions[Pin.Version] == Claim.value());
   if (Result.won())
-    Pin.Version = numberOf(Claim.value());
+    Pin.Version = versionIndex(Claim.value());
   Result.set_value(Versions[Pin.Version]);
   return Result;
 }
 
-// A pin that was used since it was put in line goes to the end again.
+// A pin that was used after it was queued goes to the end of the queue again.
 void pin_table::expire(double Now) {
-  while (!Line.empty() && Line.front().Touched + double(QuietSeconds) <= Now) {
-    place Place = Line.front();
-    Line.pop_front();
-    auto It = Pins.find(Place.Key);
-    if (It->second.Touched == Place.Touched) {
+  while (!ExpiryQueue.empty() &&
+         ExpiryQueue.front().Touched + double(IdleTimeoutSeconds) <= Now) {
+    queue_entry Oldest = ExpiryQueue.front();
+    ExpiryQueue.pop_front();
+    auto It = Pins.find(Oldest.Key);
+    if (It->second.Touched == Oldest.Touched) {
       Pins.erase(It);
       continue;
     }
-    Line.push_back({Place.Key, It->second.Touched});
+    ExpiryQueue.push_back({Oldest.Key, It->second.Touched});
   }
 }
 
 void pin_table::save(wire::state_image &Image) const {
   for (const std::string &Version : Versions)
     Image.add_pin_versions(Version);
-  for (const place &Place : Line) {
-    const pin &Pin = Pins.at(Place.Key);
+  for (const queue_entry &Oldest : ExpiryQueue) {
+    const pin &Pin = Pins.at(Oldest.Key);
     wire::stored_pin *Out = Image.add_pins();
-    Out->set_key_high(Place.Key[0]);
-    Out->set_key_low(Place.Key[1]);
+    Out->set_key_high(Oldest.Key[0]);
+    Out->set_key_low(Oldest.Key[1]);
     Out->set_version(Pin.Version);
     Out->set_touched(Pin.Touched);
   }
 }
 
-void pin_table::put(const short_digest &Key, const std::string &Version,
-                    uint32_t Touched) {
-  Pins[Key] = {numberOf(Version), Touched};
-  Line.push_back({Key, Touched});
+void pin_table::insert(const short_digest &Key, const std::string &Version,
+                       uint32_t Touched) {
+  Pins[Key] = {versionIndex(Version), Touched};
+  ExpiryQueue.push_back({Key, Touched});
 }
 
-// Images written before pins had a table of their own hold them among claims.
+// Older images hold pins as claims in the space "session".
 void pin_table::load(const wire::state_image &Image) {
   *this = {};
   for (const wire::stored_claim &In : Image.claims())
     if (In.space() == "session")
-      put(keyOf(In.account(), In.key()), In.value(), uint32_t(In.touched()));
+      insert(keyOf(In.account(), In.key()), In.value(), uint32_t(In.touched()));
   for (const wire::stored_pin &In : Image.pins())
     if (In.version() < uint32_t(Image.pin_versions_size()))
-      put({In.key_high(), In.key_low()}, Image.pin_versions(int(In.version())),
-          In.touched());
-  std::stable_sort(
-      Line.begin(), Line.end(),
-      [](const place &A, const place &B) { return A.Touched < B.Touched; });
+      insert({In.key_high(), In.key_low()},
+             Image.pin_versions(int(In.version())), In.touched());
+  std::stable_sort(ExpiryQueue.begin(), ExpiryQueue.end(),
+                   [](const queue_entry &A, const queue_entry &B) {
+                     return A.Touched < B.Touched;
+                   });
 }
 
 } // namespace olivevalve
--- a/ledger/pins.h
+++ b/ledger/pins.h
@@ -1,9 +1,11 @@
-//===- pins.h - The version each session keeps ------------------*- C++ -*-===//
+//===- pins.h - Versions that sessions are pinned to ------------*- C++ -*-===//
 //
-// First writer wins, over all entries. Part of control's replicated state:
-// deterministic, time comes from the log. There are as many pins as sessions
-// of the last hour, so each is kept in some 60 bytes: a digest of its key, the
-// number of its version, the second of its last use.
+// A session stays at the model version that answered its first request. Of
+// several entries that pin the same session, the first one wins. Part of
+// control's replicated state: deterministic, the time comes from the log. There
+// are as many pins as sessions in the last hour, so each takes only some 60
+// bytes: a digest of its key, the index of its version and the second of its
+// last use.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,12 +22,14 @@
 
 namespace olivevalve {
 
+/// All pinned sessions. Times are in seconds since the epoch.
 class pin_table {
 public:
-  /// Stores the version if the session has none, or if the one it has is that
-  /// which the claim says it replaces. The same version again wins again.
+  /// Pins the session to the version in \p Claim and wins if it has no pin, or
+  /// if its version is the one that the claim names in `replaces`. A claim of
+  /// the pinned version wins too. The result holds the version pinned now.
   wire::claim_result claim(const wire::claim &Claim, double Now);
-  /// Drops sessions that were quiet for too long.
+  /// Removes the pins of sessions without a request for an hour.
   void expire(double Now);
 
   size_t size() const { return Pins.size(); }
@@ -34,22 +38,25 @@
 
 private:
   struct pin {
-    uint32_t Version = 0; ///< Place in Versions.
-    uint32_t Touched = 0; ///< Seconds since the epoch.
+    uint32_t Version = 0; ///< Index into Versions.
+    uint32_t Touched = 0; ///< Last use.
   };
-  struct place {
+  struct queue_entry {
     short_digest Key;
-    uint32_t Touched = 0; ///< When it was put in line.
+    uint32_t Touched = 0; ///< Last use of the pin when it was queued.
   };
 
-  uint32_t numberOf(const std::string &Version);
-  void put(const short_digest &Key, const std::string &Version,
-           uint32_t Touched);
+  uint32_t versionIndex(const std::string &Version);
+  void insert(const short_digest &Key, const std::string &Version,
+              uint32_t Touched);
 
   absl::flat_hash_map<short_digest, pin> Pins;
-  std::deque<place> Line; ///< One place a pin, oldest first.
+  std::deque<queue_entry>
+      ExpiryQueue; ///< One element for each pin, oldest first.
+  /// Every version a session was ever pinned to.
   std::vector<std::string> Versions;
-  std::map<std::string, uint32_t> Numbers; ///< Of Versions.
+  std::map<std::string, uint32_t>
+      VersionIndexes; ///< Index into Versions, by name.
 };
 
 } // namespace olivevalve
--- a/ledger/state_machine.cpp
+++ b/ledger/state_machine.cpp
@@ -8,10 +8,12 @@
 
 namespace {
 
-// Change ids remembered for resends: five days at the design size.
-constexpr size_t RememberedChanges = 10000;
+// Most change ids kept to recognise resent changes. At the design size this is
+// the number of changes in five days.
+constexpr size_t MaxRememberedChanges = 10000;
 
-// A version set back to rolling starts with a clean record.
+// Versions that a change puts into the state rolling. The guard's tests of such
+// a version start anew.
 std::vector<version_name> newlyRolling(const catalog &Before,
                                        const catalog &After) {
   std::vector<version_name> Names;
@@ -31,22 +33,22 @@
 } // namespace
 
 apply_result state_machine::apply(uint64_t Index, const std::string &Data) {
-  Applied = Index;
+  AppliedIndex = Index;
   wire::command Command;
   if (Data.empty() || !Command.ParseFromString(Data))
     return {};
-  Wall = std::max(Wall, Command.wall_seconds());
+  WallSeconds = std::max(WallSeconds, Command.wall_seconds());
   apply_result Result;
   switch (Command.body_case()) {
   case wire::command::kChange:
     return applyChange(Index, Command.change());
   case wire::command::kClaim:
     Result.Claim = Command.claim().space() == "session"
-                       ? Pins.claim(Command.claim(), Wall)
-                       : Claims.claim(Command.claim(), Wall);
+                       ? Pins.claim(Command.claim(), WallSeconds)
+                       : Claims.claim(Command.claim(), WallSeconds);
     return Result;
   case wire::command::kFinish:
-    Result.Claim = Claims.finish(Command.finish(), Wall);
+    Result.Claim = Claims.finish(Command.finish(), WallSeconds);
     return Result;
   case wire::command::kBills:
     for (const wire::bill &Bill : Command.bills().bills())
@@ -59,19 +61,19 @@
     Result.Status = Routing.apply(Command.routing());
     return Result;
   case wire::command::kBeginRollout:
-    Result.Status = Rollouts.begin(Command.begin_rollout(), Wall);
+    Result.Status = Rollouts.begin(Command.begin_rollout(), WallSeconds);
     return Result;
   case wire::command::kRolloutStep:
     Rollouts.step(Command.rollout_step());
     return Result;
   case wire::command::kQuarantine:
-    if (!Quarantine.apply(Command.quarantine(), Wall) &&
+    if (!Quarantine.apply(Command.quarantine(), WallSeconds) &&
         Command.quarantine().has_release())
       Result.Status =
-          makeError(error_kind::NotFound, "no such request is quarantined");
+          makeError(error_kind::NotFound, "request is not in quarantine");
     return Result;
   case wire::command::kEvacuation:
-    Result.Status = Evacuations.apply(Command.evacuation(), Wall);
+    Result.Status = Evacuations.apply(Command.evacuation(), WallSeconds);
     return Result;
   default:
     return Result;
@@ -97,19 +99,19 @@
     for (const version_name &Name : newlyRolling(Before, Catalog))
       Ratings.reset(Name);
   }
-  remember(Change.change_id(), Result.ConfigIndex, Result.Status);
+  rememberChange(Change.change_id(), Result.ConfigIndex, Result.Status);
   return Result;
 }
 
-void state_machine::remember(const std::string &ChangeId, uint64_t Index,
-                             const absl::Status &Status) {
+void state_machine::rememberChange(const std::string &ChangeId, uint64_t Index,
+                                   const absl::Status &Status) {
   if (ChangeId.empty())
     return;
   Changes[ChangeId] = {.Index = Index,
                        .Kind = uint32_t(kindOf(Status)),
                        .Message = std::string(messageOf(Status))};
   ChangeOrder.push_back(ChangeId);
-  if (ChangeOrder.size() > RememberedChanges) {
+  if (ChangeOrder.size() > MaxRememberedChanges) {
     Changes.erase(ChangeOrder.front());
     ChangeOrder.pop_front();
   }
@@ -130,12 +132,12 @@
 
 std::string state_machine::image() const {
   wire::state_image Image;
-  Image.set_index(Applied);
+  Image.set_index(AppliedIndex);
   Image.set_config_index(Catalog.index());
-  Image.set_wall_seconds(Wall);
-  wire::config_delta Whole;
-  Catalog.fillDelta(0, Whole);
-  Image.mutable_objects()->Swap(Whole.mutable_objects());
+  Image.set_wall_seconds(WallSeconds);
+  wire::config_delta Full;
+  Catalog.fillDelta(0, Full);
+  Image.mutable_objects()->Swap(Full.mutable_objects());
   for (const std::string &Id : ChangeOrder) {
     const change_record &Record = Changes.at(Id);
     wire::stored_change *Out = Image.add_changes();
@@ -165,11 +167,11 @@
   if (!Image.ParseFromString(Bytes))
     return false;
   state_machine Next;
-  wire::config_delta Whole;
-  Whole.set_index(Image.config_index());
-  Whole.set_whole(true);
-  Whole.mutable_objects()->CopyFrom(Image.objects());
-  if (!Next.Catalog.applyDelta(Whole))
+  wire::config_delta Full;
+  Full.set_index(Image.config_index());
+  Full.set_whole(true);
+  Full.mutable_objects()->CopyFrom(Image.objects());
+  if (!Next.Catalog.applyDelta(Full))
     return false;
   for (const wire::stored_change &In : Image.changes()) {
     Next.Changes[In.change_id()] = {
@@ -178,8 +180,8 @@
   }
   for (const wire::reporter_mark &In : Image.reporters())
     Next.ReporterSequence[In.reporter()] = In.sequence();
-  Next.Applied = Image.index();
-  Next.Wall = Image.wall_seconds();
+  Next.AppliedIndex = Image.index();
+  Next.WallSeconds = Image.wall_seconds();
   Next.Claims.load(Image);
   Next.Pins.load(Image);
   Next.Bills.load(Image);
--- a/ledger/state_machine.h
+++ b/ledger/state_machine.h
@@ -1,8 +1,9 @@
 //===- state_machine.h - Control's replicated state -------------*- C++ -*-===//
 //
-// Applies committed commands in order: configuration changes, claims, bills,
-// ratings. Every control VM comes to the same state, so nothing here may look
-// at a clock, a socket or a random number.
+// Applies committed commands in log order: configuration and routing changes,
+// claims, bills, ratings, roll-outs, quarantine and evacuations. Every control
+// VM has to reach the same state, so nothing here may read a clock, a socket or
+// a random number.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,49 +24,59 @@
 
 namespace olivevalve {
 
-/// What came of one command.
+/// Result of one command.
 struct apply_result {
   absl::Status Status;
-  uint64_t ConfigIndex = 0; ///< Changes: where the configuration changed.
-  bool Repeated = false;    ///< Changes: the id was seen before.
-  wire::claim_result Claim; ///< Claims and finishes.
+  /// Log index of a configuration change; 0: the change was rejected or the
+  /// command is of another kind.
+  uint64_t ConfigIndex = 0;
+  /// A configuration change with this change id was applied before. Status and
+  /// ConfigIndex are those of the first time.
+  bool Repeated = false;
+  wire::claim_result Claim; ///< Set for the commands claim and finish.
 };
 
+/// The state that all control VMs replicate.
 class state_machine {
 public:
   /// Applies \p Data, a serialised wire::command, committed at \p Index. Empty
-  /// data is no operation.
+  /// or unreadable data changes nothing but appliedIndex().
   apply_result apply(uint64_t Index, const std::string &Data);
 
-  uint64_t appliedIndex() const { return Applied; }
+  uint64_t appliedIndex() const { return AppliedIndex; }
   const catalog &config() const { return Catalog; }
   const bill_ledger &bills() const { return Bills; }
   const rating_book &ratings() const { return Ratings; }
   const claim_table &claims() const { return Claims; }
   const pin_table &pins() const { return Pins; }
-  /// The routing configuration with the highest version; 0: none yet.
   const routing_book &routing() const { return Routing; }
   const rollout_book &rollouts() const { return Rollouts; }
   const quarantine_book &quarantine() const { return Quarantine; }
   const evacuation_book &evacuations() const { return Evacuations; }
 
+  /// The whole state as a serialised wire::state_image, for a snapshot.
   std::string image() const;
+  /// Replaces the state by that of \p Image. False, with nothing changed, if
+  /// the image cannot be parsed or its configuration is not valid.
   bool restore(const std::string &Image);
 
 private:
   apply_result applyChange(uint64_t Index, const wire::change_set &Changes);
   void applyRatings(const wire::rating_batch &Batch);
-  void remember(const std::string &ChangeId, uint64_t Index,
-                const absl::Status &Status);
+  void rememberChange(const std::string &ChangeId, uint64_t Index,
+                      const absl::Status &Status);
 
+  /// Result of a configuration change, returned again when it is resent.
   struct change_record {
-    uint64_t Index = 0;
-    uint32_t Kind = 0;
-    std::string Message;
+    uint64_t Index = 0;  ///< 0 if the change was rejected.
+    uint32_t Kind = 0;   ///< error_kind as a number; 0: no error.
+    std::string Message; ///< Of the error.
   };
 
-  uint64_t Applied = 0;
-  double Wall = 0; ///< Never goes back.
+  uint64_t AppliedIndex = 0;
+  /// Time of the newest command in seconds since the epoch. Each leader stamps
+  /// commands with its own clock; this value never decreases.
+  double WallSeconds = 0;
   catalog Catalog;
   claim_table Claims;
   pin_table Pins;
@@ -75,8 +86,10 @@
   rollout_book Rollouts;
   quarantine_book Quarantine;
   evacuation_book Evacuations;
-  std::map<std::string, change_record> Changes;
-  std::deque<std::string> ChangeOrder;
+  std::map<std::string, change_record> Changes; ///< By change id.
+  std::deque<std::string> ChangeOrder;          ///< Change ids, oldest first.
+  /// Sequence number of the last batch of ratings, by reporter; batches that
+  /// are resent are recognised by it.
   std::map<std::string, uint64_t> ReporterSequence;
 };
 
