--- a/ledger/evacuations.cpp
+++ b/ledger/evacuations.cpp
@@ -7,32 +7,33 @@
 namespace olivevalve {
 
 absl::Status evacuation_book::apply(const wire::evacuation_change &Change,
-                                    double Wall) {
-  bool Held = Halls.contains(Change.data_hall());
-  if (Held != Change.restore())
+                                    double WallSeconds) {
+  bool IsEvacuated = Halls.contains(Change.data_hall());
+  if (IsEvacuated != Change.restore())
     return absl::OkStatus();
   if (Change.restore()) {
     Halls.erase(Change.data_hall());
   } else if (Halls.size() >= MostHalls) {
     return makeError(error_kind::Conflict,
-                     absl::StrCat(MostHalls, " data halls are evacuated; "
-                                             "restore one first"));
+                     absl::StrCat(MostHalls,
+                                  " data halls are evacuated, which "
+                                  "is the limit; restore one first"));
   } else {
     wire::evacuation &Evacuation = Halls[Change.data_hall()];
     Evacuation.set_data_hall(Change.data_hall());
-    Evacuation.set_since_wall(Wall);
+    Evacuation.set_since_wall(WallSeconds);
   }
   ++Revision;
   return absl::OkStatus();
 }
 
-void evacuation_book::fillNews(uint64_t Held,
-                               wire::evacuation_news &News) const {
-  if (Revision <= Held)
+void evacuation_book::fillNews(uint64_t HeldRevision,
+                               wire::evacuation_news &Update) const {
+  if (Revision <= HeldRevision)
     return;
-  News.set_revision(Revision);
+  Update.set_revision(Revision);
   for (const auto &[Name, Evacuation] : Halls)
-    *News.add_evacuations() = Evacuation;
+    *Update.add_evacuations() = Evacuation;
 }
 
 void evacuation_book::save(wire::state_image &Image) const {
--- a/ledger/evacuations.h
+++ b/ledger/evacuations.h
@@ -1,7 +1,7 @@
 //===- evacuations.h - Data halls that get no new requests ------*- C++ -*-===//
 //
-// Which data halls operators have evacuated. Part of the replicated state: no
-// clocks here.
+// The data halls that operators have evacuated. Part of the replicated state,
+// so nothing here reads a clock.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,21 +18,24 @@
 
 class evacuation_book {
 public:
+  /// Bounds the number of evacuated data halls.
   static constexpr size_t MostHalls = 256;
 
-  /// Evacuates or restores one data hall. To do so again changes nothing and is
-  /// no error; Conflict: there are too many.
-  absl::Status apply(const wire::evacuation_change &Change, double Wall);
+  /// Evacuates or restores one data hall at \p WallSeconds, in seconds since
+  /// the epoch. Does nothing if the data hall is in that state already.
+  /// Conflict: MostHalls data halls are evacuated.
+  absl::Status apply(const wire::evacuation_change &Change, double WallSeconds);
   bool contains(std::string_view DataHall) const {
     return Halls.contains(DataHall);
   }
   const std::map<std::string, wire::evacuation, std::less<>> &all() const {
     return Halls;
   }
-  /// Grows with each change; never the same for two states.
+  /// Incremented by each change, so that it identifies a state.
   uint64_t revision() const { return Revision; }
-  /// Fills in nothing where the receiver holds this revision.
-  void fillNews(uint64_t Held, wire::evacuation_news &News) const;
+  /// Writes the list of evacuated data halls into a message, unless \p
+  /// HeldRevision, the revision that the receiver holds, is current.
+  void fillNews(uint64_t HeldRevision, wire::evacuation_news &Update) const;
 
   void save(wire::state_image &Image) const;
   void load(const wire::state_image &Image);
--- a/ledger/published.cpp
+++ b/ledger/published.cpp
@@ -1,4 +1,4 @@
-//===- published.cpp - Which estimates nodes have to hear -----------------===//
+//===- published.cpp - Incremental publication of estimates ---------------===//
 
 #include "ledger/published.h"
 #include <cmath>
@@ -7,56 +7,60 @@
 
 namespace {
 
-// A cell with so many times the ratings is worth hearing of again: its weight
-// against its template's mean has changed.
-constexpr double Growth = 1.5;
-// Part of its standard error by which a mean must have moved. `bench` (news of
-// estimates): at the design size 0.25 kept nodes behind for ever and 18 errors
-// off in the cells they never heard of; 0.5 keeps up, 1.7 errors off at worst.
-constexpr double PartOfError = 0.5;
-constexpr double RatingSpread = 0.3;
-// Part by which a cost must have moved.
-constexpr double PartOfCost = 0.05;
+// A cell is published again once its number of ratings has grown by this
+// factor, because its weight against the mean of its template has changed.
+constexpr double RatingGrowthFactor = 1.5;
+// A cell is published again once its mean rating has changed by this fraction
+// of its standard error. At the design size a fraction of 0.25 produces more
+// updates than nodes receive: they never catch up and are off by up to 18
+// standard errors in cells that are never sent. With 0.5 they keep up and are
+// off by at most 1.7.
+constexpr double ErrorFraction = 0.5;
+// Assumed standard deviation of a single rating.
+constexpr double RatingDeviation = 0.3;
+// A cell is published again once its mean cost has changed by this fraction.
+constexpr double CostFraction = 0.05;
 
-bool hasMoved(const estimate_sums &Then, const estimate_sums &Now) {
-  if (Then.Ratings <= 0 || Now.Ratings >= Growth * Then.Ratings)
+bool hasChangedEnough(const estimate_sums &Then, const estimate_sums &Now) {
+  if (Then.Ratings <= 0 || Now.Ratings >= RatingGrowthFactor * Then.Ratings)
     return true;
-  double Error = RatingSpread / std::sqrt(Now.Ratings + 1);
+  double Error = RatingDeviation / std::sqrt(Now.Ratings + 1);
   double Quality = Now.Scores / Now.Ratings - Then.Scores / Then.Ratings;
   double CostThen = Then.Costs / Then.Ratings;
   double Cost = Now.Costs / Now.Ratings - CostThen;
-  return std::abs(Quality) > PartOfError * Error ||
-         std::abs(Cost) > PartOfCost * CostThen;
+  return std::abs(Quality) > ErrorFraction * Error ||
+         std::abs(Cost) > CostFraction * CostThen;
 }
 
 } // namespace
 
-void published_cells::note(const estimate_key &Key, const estimate_sums &Sums,
-                           uint64_t Count) {
-  published &Cell = Cells[Key];
-  if (!hasMoved(Cell.Sums, Sums))
+void published_estimates::update(const estimate_key &Key,
+                                 const estimate_sums &Sums, uint64_t Count) {
+  published_cell &Cell = Cells[Key];
+  if (!hasChangedEnough(Cell.Sums, Sums))
     return;
-  Order.erase({Cell.Count, Key});
+  ByCount.erase({Cell.Count, Key});
   Cell = {Count, Sums};
-  Order.insert({Count, Key});
+  ByCount.insert({Count, Key});
 }
 
-void published_cells::reset(const estimates &Estimates, uint64_t Count) {
+void published_estimates::reset(const estimates &Estimates, uint64_t Count) {
   Cells.clear();
-  Order.clear();
+  ByCount.clear();
   for (const auto &[Key, Sums] : Estimates.cells())
-    note(Key, Sums, Count);
+    update(Key, Sums, Count);
 }
 
-// Cells of one rating go together, or the index could not tell which of them
-// the node has.
-void published_cells::fill(uint64_t Known, size_t Most,
-                           const estimates &Estimates, uint64_t Count,
-                           wire::estimate_table &Table) const {
+// Cells published at the same rating are sent in one message, even beyond
+// MaxCells, because the index cannot tell which of them the receiver holds.
+void published_estimates::fill(uint64_t HeldIndex, size_t MaxCells,
+                               const estimates &Estimates, uint64_t Count,
+                               wire::estimate_table &Table) const {
   Table.set_index(Count);
-  for (auto It = Order.lower_bound({Known + 1, {}}); It != Order.end(); ++It) {
-    bool Full = size_t(Table.cells_size()) >= Most;
-    if (Full && It->Count != Table.index())
+  for (auto It = ByCount.lower_bound({HeldIndex + 1, {}}); It != ByCount.end();
+       ++It) {
+    bool IsFull = size_t(Table.cells_size()) >= MaxCells;
+    if (IsFull && It->Count != Table.index())
       return;
     saveCell(It->Key, Estimates.cells().at(It->Key), *Table.add_cells());
     Table.set_index(It->Count);
--- a/ledger/published.h
+++ b/ledger/published.h
@@ -1,10 +1,11 @@
-//===- published.h - Which estimates nodes have to hear ---------*- C++ -*-===//
+//===- published.h - Incremental publication of estimates -------*- C++ -*-===//
 //
-// Remembers for each cell what was last published and when, counted in
-// ratings. A cell is published anew only when it has moved by more than a part
-// of its own error, so that entries hear what matters to their choices at a
-// few hundred bytes a second. Pure; not part of the replicated state: a new
-// leader that publishes a little more or later changes no promise.
+// Keeps for each cell of the estimates the sums that were last published to
+// nodes and the rating count at which that happened. A cell is published again
+// only when it has changed by more than a fraction of its standard error, so
+// that entries get what affects their choices at a few hundred bytes per
+// second. Pure, and not part of the replicated state: nothing depends on two
+// leaders publishing the same cells at the same time.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,33 +18,38 @@
 
 namespace olivevalve {
 
-class published_cells {
+class published_estimates {
 public:
-  /// The cell was changed by rating number \p Count.
-  void note(const estimate_key &Key, const estimate_sums &Sums, uint64_t Count);
-  /// Takes all cells as published at \p Count, after a restore.
+  /// Publishes the cell if rating number \p Count has changed it to \p Sums by
+  /// enough.
+  void update(const estimate_key &Key, const estimate_sums &Sums,
+              uint64_t Count);
+  /// Publishes all cells at \p Count, after the state was restored.
   void reset(const estimates &Estimates, uint64_t Count);
-  /// Adds the cells published after rating \p Known, oldest first and about
-  /// \p Most of them. Sets the table's index to what the node then knows.
-  void fill(uint64_t Known, size_t Most, const estimates &Estimates,
+  /// Adds the cells published after rating \p HeldIndex to \p Table, oldest
+  /// first and about \p MaxCells of them. Sets the index of the table to the
+  /// rating up to which the receiver then holds all publications.
+  void fill(uint64_t HeldIndex, size_t MaxCells, const estimates &Estimates,
             uint64_t Count, wire::estimate_table &Table) const;
 
 private:
-  struct published {
-    uint64_t Count = 0;
+  /// Last publication of a cell.
+  struct published_cell {
+    uint64_t Count = 0; ///< Number of ratings at that time.
     estimate_sums Sums;
   };
-  struct place {
+  /// Sorts publications by count.
+  struct publication {
     uint64_t Count = 0;
     estimate_key Key;
-    auto operator<=>(const place &) const = default;
+    auto operator<=>(const publication &) const = default;
   };
 
-  std::map<estimate_key, published> Cells;
-  std::set<place> Order;
+  std::map<estimate_key, published_cell> Cells;
+  std::set<publication> ByCount;
 };
 
-/// Writes one cell into \p Out.
+/// Writes one cell to \p Out.
 void saveCell(const estimate_key &Key, const estimate_sums &Sums,
               wire::rating_sum &Out);
 
--- a/ledger/quarantine.cpp
+++ b/ledger/quarantine.cpp
@@ -1,4 +1,4 @@
-//===- quarantine.cpp - Requests that go to no upstream any more ----------===//
+//===- quarantine.cpp - Requests that crash upstreams ---------------------===//
 
 #include "ledger/quarantine.h"
 #include <algorithm>
@@ -6,11 +6,11 @@
 namespace olivevalve {
 
 bool quarantine_book::apply(const wire::quarantine_change &Change,
-                            double Wall) {
+                            double WallSeconds) {
   bool Changed = false;
   if (Change.has_add()) {
     wire::quarantined_request Request = Change.add();
-    Request.set_since_wall(Wall);
+    Request.set_since_wall(WallSeconds);
     Changed = add(std::move(Request));
   } else if (Change.has_release()) {
     Changed = release(digestOf(Change.release()));
--- a/ledger/quarantine.h
+++ b/ledger/quarantine.h
@@ -1,7 +1,8 @@
-//===- quarantine.h - Requests that go to no upstream any more --*- C++ -*-===//
+//===- quarantine.h - Requests that crash upstreams -------------*- C++ -*-===//
 //
-// Upstream after upstream ended under them. Part of the replicated state, so
-// that it outlives every process: no clocks here.
+// Requests that are no longer sent to any upstream, because several upstreams
+// crashed while processing them. Part of the replicated state, so that the list
+// survives restarts; nothing here reads a clock.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,15 +16,16 @@
 
 class quarantine_book {
 public:
-  /// The oldest leaves when there would be more.
+  /// Bounds the list; adding one more releases the oldest.
   static constexpr size_t MostRequests = 256;
 
-  /// False if it changes nothing.
-  bool apply(const wire::quarantine_change &Change, double Wall);
+  /// Adds or releases a request at \p WallSeconds, in seconds since the epoch.
+  /// False if it is in quarantine already, or not in quarantine, respectively.
+  bool apply(const wire::quarantine_change &Change, double WallSeconds);
   bool contains(const short_digest &Request) const;
   /// Oldest first.
   const std::deque<wire::quarantined_request> &all() const { return Requests; }
-  /// Grows with each change; never the same for two states.
+  /// Incremented by each change, so that it identifies a state.
   uint64_t revision() const { return Revision; }
 
   void save(wire::state_image &Image) const;
--- a/ledger/ratings.cpp
+++ b/ledger/ratings.cpp
@@ -9,11 +9,11 @@
 namespace {
 
 constexpr guard_options Guard;
-// Before any settled version of the model is rated.
-constexpr double UnknownReference = 0.6;
-// Whole answers in time that any version must give.
-constexpr double RequiredWhole = 0.9;
-// Scopes of stored tests.
+// Reference score while no settled version of the model has a rating.
+constexpr double DefaultReferenceScore = 0.6;
+// Least share of its answers that a version must complete in time.
+constexpr double RequiredSuccessRate = 0.9;
+// Names of the tests in a wire::version_image.
 constexpr std::string_view OverallScope = "all";
 constexpr std::string_view FailureScope = "failures";
 constexpr std::string_view TemplatePrefix = "template:";
@@ -44,27 +44,28 @@
 
 } // namespace
 
-// A rolling version is held to the best settled version of its model, a
-// settled one to its own past.
-double rating_book::referenceFor(const std::string &Template,
-                                 const version_name &Name,
-                                 const catalog &Catalog) const {
+// The score that a version has to reach: for a rolling version that of the best
+// active version of its model, for any other its own estimate, each less the
+// tolerance.
+double rating_book::referenceScore(const std::string &Template,
+                                   const version_name &Name,
+                                   const catalog &Catalog) const {
   const model_spec *Model = Catalog.model(Name.Model);
   const version_spec *Self = Catalog.version(Name);
   if (!Model || !Self)
-    return UnknownReference - Guard.Tolerance;
+    return DefaultReferenceScore - Guard.Tolerance;
   bool Rolling = Self->State == version_state::Rolling;
   std::optional<double> Best;
   for (const auto &[Version, Spec] : Model->Versions) {
-    bool Counts =
+    bool IsReference =
         Rolling ? Spec.State == version_state::Active : Version == Name.Version;
-    if (!Counts)
+    if (!IsReference)
       continue;
     arm Arm{{Name.Model, Version}, {}};
     double Quality = Estimates.of({Template, "", Arm}, 1).Quality;
     Best = std::max(Best.value_or(0), Quality);
   }
-  return Best.value_or(UnknownReference) - Guard.Tolerance;
+  return Best.value_or(DefaultReferenceScore) - Guard.Tolerance;
 }
 
 void rating_book::add(const wire::rating &Rating, const catalog &Catalog) {
@@ -76,12 +77,12 @@
     return;
   }
   version_record &Record = Versions[Name];
-  Record.Failures.add(Rating.failed() ? 0 : 1, RequiredWhole);
+  Record.Failures.add(Rating.failed() ? 0 : 1, RequiredSuccessRate);
   if (Rating.failed()) {
     ++Record.Ratings;
     return;
   }
-  double Reference = referenceFor(Rating.template_(), Name, Catalog);
+  double Reference = referenceScore(Rating.template_(), Name, Catalog);
   ++Record.Ratings;
   Record.Overall.add(Rating.score(), Reference);
   Record.ByTemplate[Rating.template_()].add(Rating.score(), Reference);
@@ -90,7 +91,8 @@
               Rating.score(), Rating.cost());
 }
 
-// A rating moves the cell, its template's and its arm's.
+// A rating changes three cells: that of its template and account, that of its
+// template, and that of its arm.
 void rating_book::addEstimate(const estimate_key &Key, double Score,
                               double Cost) {
   Estimates.add(Key, Score, Cost);
@@ -98,14 +100,16 @@
                                    estimate_key{"", "", Key.Arm}}) {
     auto It = Estimates.cells().find(Each);
     if (It != Estimates.cells().end())
-      Published.note(Each, It->second, Count);
+      Published.update(Each, It->second, Count);
   }
 }
 
-void rating_book::fillNews(uint64_t Known, size_t Most,
+void rating_book::fillNews(uint64_t HeldIndex, size_t MaxCells,
                            wire::estimate_table &Table) const {
-  // A node that knows more comes from another group's time.
-  Published.fill(Known > Count ? 0 : Known, Most, Estimates, Count, Table);
+  // A node with a higher index got it from another control group; it is sent
+  // all cells.
+  Published.fill(HeldIndex > Count ? 0 : HeldIndex, MaxCells, Estimates, Count,
+                 Table);
 }
 
 void rating_book::addExposure(const wire::exposure &Exposure) {
@@ -115,21 +119,23 @@
 
 void rating_book::reset(const version_name &Name) { Versions.erase(Name); }
 
-// Evidence against all of a version's traffic but what is stopped already and,
-// if given, \p Scope. Ratings part by template and by account: what is stopped
-// of one kind is still in the other's product, so the lower one counts.
-double rating_book::evidenceWithout(const version_spec &Spec,
-                                    const version_record &Record,
-                                    const guard_scope *Scope) {
+// Evidence against a version, without the scopes that are stopped already and,
+// if given, without \p Scope. The same ratings are split once by template and
+// once by account. A stopped template is left out of the first split only, its
+// ratings still count in the second, and vice versa; so the lower result is
+// used.
+double rating_book::evidenceExcluding(const version_spec &Spec,
+                                      const version_record &Record,
+                                      const guard_scope *Scope) {
   using scope_kind = guard_scope::scope_kind;
   auto Combined = [&](const scope_tests &Tests, scope_kind Kind,
                       const std::vector<std::string> &Stopped) {
     std::vector<const score_test *> Kept;
     for (const auto &[Name, Test] : Tests) {
-      bool Out =
+      bool Excluded =
           std::find(Stopped.begin(), Stopped.end(), Name) != Stopped.end() ||
           (Scope && Scope->Kind == Kind && Scope->Name == Name);
-      if (!Out)
+      if (!Excluded)
         Kept.push_back(&Test);
     }
     return score_test::combined(Kept);
@@ -140,34 +146,38 @@
                            Spec.StoppedFor.Accounts));
 }
 
-// True if a version looks good without \p Scope. A settled one has been rated
-// too long for the product of its tests to say so; it is taken to.
-bool rating_book::goodWithout(const version_spec &Spec,
-                              const version_record &Record,
-                              const guard_scope &Scope) {
+// True if a version passes without the traffic of \p Scope. For a version that
+// is not rolling this is assumed: over its many ratings the combined evidence
+// no longer tells how good it is at present.
+bool rating_book::passesExcluding(const version_spec &Spec,
+                                  const version_record &Record,
+                                  const guard_scope &Scope) {
   if (Spec.State != version_state::Rolling)
     return true;
   const scope_tests &Tests = Scope.Kind == guard_scope::scope_kind::Template
                                  ? Record.ByTemplate
                                  : Record.ByAccount;
-  uint64_t Rest =
+  uint64_t RemainingRatings =
       Record.Overall.ratings() - Tests.find(Scope.Name)->second.ratings();
-  return Rest >= Guard.RestRatings && evidenceWithout(Spec, Record, &Scope) < 1;
+  return RemainingRatings >= Guard.RestRatings &&
+         evidenceExcluding(Spec, Record, &Scope) < 1;
 }
 
-// The one template or account without which a rolling version looks good.
+// The template or account with the highest evidence among those without which a
+// rolling version passes.
 std::optional<guard_scope>
-rating_book::onlyBadScope(const version_spec &Spec,
-                          const version_record &Record) {
+rating_book::onlyFailingScope(const version_spec &Spec,
+                              const version_record &Record) {
   using scope_kind = guard_scope::scope_kind;
   std::optional<guard_scope> Worst;
-  double Most = 1;
+  double WorstEvidence = 1;
   auto Consider = [&](const scope_tests &Tests, scope_kind Kind) {
     for (const auto &[Name, Test] : Tests) {
       guard_scope Scope{Kind, Name};
-      if (Test.evidence() <= Most || !goodWithout(Spec, Record, Scope))
+      if (Test.evidence() <= WorstEvidence ||
+          !passesExcluding(Spec, Record, Scope))
         continue;
-      Most = Test.evidence();
+      WorstEvidence = Test.evidence();
       Worst = Scope;
     }
   };
@@ -176,11 +186,12 @@
   return Worst;
 }
 
-// Each further test is one more chance of a false stop, so the thresholds of
-// the finer ones grow with their number.
-guard_report rating_book::judgeOne(const version_name &Name,
-                                   const version_spec &Spec,
-                                   const version_record &Record) {
+// Every additional test raises the probability of a false stop. The thresholds
+// of the tests by template and by account are therefore multiplied by the
+// number of such tests.
+guard_report rating_book::evaluateVersion(const version_name &Name,
+                                          const version_spec &Spec,
+                                          const version_record &Record) {
   using scope_kind = guard_scope::scope_kind;
   bool Rolling = Spec.State == version_state::Rolling;
   guard_report Report{.Name = Name};
@@ -208,7 +219,7 @@
       if (Verdict != guard_verdict::Stop)
         continue;
       Report.Reason = (IsTemplate ? "template " : "account ") + Scope;
-      if (goodWithout(Spec, Record, {Kind, Scope}))
+      if (passesExcluding(Spec, Record, {Kind, Scope}))
         Report.Stops.push_back({Kind, Scope});
       else
         Report.Verdict = guard_verdict::Stop;
@@ -218,7 +229,7 @@
       Judge(EvidenceOf(Record.Failures), Record.Failures.ratings(), 1);
   JudgeScopes(Record.ByTemplate, scope_kind::Template);
   JudgeScopes(Record.ByAccount, scope_kind::Account);
-  double All = Rolling ? evidenceWithout(Spec, Record, nullptr)
+  double All = Rolling ? evidenceExcluding(Spec, Record, nullptr)
                        : Record.Overall.recentEvidence();
   guard_verdict Overall = Judge(All, Record.Overall.ratings(), 1);
   if (Failures == guard_verdict::Stop) {
@@ -226,11 +237,11 @@
     Report.Reason = "failures";
   } else if (Overall == guard_verdict::Stop &&
              Report.Verdict != guard_verdict::Stop) {
-    std::optional<guard_scope> Only;
+    std::optional<guard_scope> FailingScope;
     if (Rolling)
-      Only = onlyBadScope(Spec, Record);
-    if (Only)
-      Report.Stops = {*Only};
+      FailingScope = onlyFailingScope(Spec, Record);
+    if (FailingScope)
+      Report.Stops = {*FailingScope};
     else
       Report.Verdict = guard_verdict::Stop;
     Report.Reason = "all answers";
@@ -249,7 +260,7 @@
     Answers += Record.Answers;
     Ratings += Record.Ratings;
   }
-  double Share = Answers > 100 ? std::min(1.0, Ratings / Answers) : 1.0;
+  double RatedShare = Answers > 100 ? std::min(1.0, Ratings / Answers) : 1.0;
   std::vector<guard_report> Reports;
   Catalog.forEach<model_spec>([&](const model_spec &Model) {
     for (const auto &[Version, Spec] : Model.Versions) {
@@ -258,11 +269,11 @@
       version_name Name{Model.Name, Version};
       auto It = Versions.find(Name);
       const version_record &Record = It == Versions.end() ? None : It->second;
-      guard_report Report = judgeOne(Name, Spec, Record);
+      guard_report Report = evaluateVersion(Name, Spec, Record);
       Report.Allowance = exposureAllowance({.Budget = Spec.ExposureBudget,
                                             .Answers = Record.Answers,
                                             .Ratings = Record.Ratings,
-                                            .RatedShare = Share,
+                                            .RatedShare = RatedShare,
                                             .Evidence = Report.Evidence});
       Reports.push_back(std::move(Report));
     }
--- a/ledger/ratings.h
+++ b/ledger/ratings.h
@@ -1,7 +1,8 @@
 //===- ratings.h - Ratings and exposure in the replicated state -*- C++ -*-===//
 //
-// Feeds every committed rating to the estimates and to the roll-out guard's
-// tests, so that whichever control VM leads next judges from the same sums.
+// Adds every committed rating to the estimates of quality and cost and to the
+// statistical tests of the roll-out guard. They are part of the replicated
+// state, so that a new leader decides on the same data.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,35 +20,45 @@
 
 namespace olivevalve {
 
-/// A part of a version's traffic.
+/// A version's traffic of one template or of one client account.
 struct guard_scope {
   enum class scope_kind : uint8_t { Template, Account } Kind;
   std::string Name;
 };
 
-/// What the guard says of one version.
+/// Result of the guard's tests for one version.
 struct guard_report {
   version_name Name;
   guard_verdict Verdict = guard_verdict::Go;
-  std::string Reason;
-  std::vector<guard_scope> Stops; ///< Parts it ends while the rest goes on.
-  double Allowance = 0; ///< All entries together; rolling versions only.
-  double Evidence = 0;  ///< The strongest of its tests.
-  double Ratings = 0;
-  double Answers = 0;
+  std::string Reason; ///< The test that failed; empty: none.
+  /// Scopes in which the version has to stop while it continues elsewhere.
+  std::vector<guard_scope> Stops;
+  /// Answers that all entries together may still give before more ratings
+  /// arrive. Applies to rolling versions only.
+  double Allowance = 0;
+  /// Highest evidence of all tests, each divided by the factor by which its
+  /// threshold is raised.
+  double Evidence = 0;
+  double Ratings = 0; ///< Ratings received, failures included.
+  double Answers = 0; ///< Answers given.
 };
 
+/// Ratings of all versions, as estimates and as tests of the guard.
 class rating_book {
 public:
   void add(const wire::rating &Rating, const catalog &Catalog);
+  /// Adds to the number of answers that a version has given.
   void addExposure(const wire::exposure &Exposure);
-  /// Judges every version that takes new work.
+  /// Evaluates the tests of every version that takes new requests.
   std::vector<guard_report> judge(const catalog &Catalog) const;
   const estimates &quality() const { return Estimates; }
-  /// The cells that a node which knows those up to \p Known has to hear.
-  void fillNews(uint64_t Known, size_t Most, wire::estimate_table &Table) const;
+  /// Adds to \p Table about \p MaxCells of the cells published since the index
+  /// \p HeldIndex, which the node reported as the last it holds.
+  void fillNews(uint64_t HeldIndex, size_t MaxCells,
+                wire::estimate_table &Table) const;
+  /// Number of ratings added so far; the index of published estimates.
   uint64_t ratings() const { return Count; }
-  /// Forgets a version's tests, when an operator rolls it out again.
+  /// Discards the tests of a version that an operator rolls out again.
   void reset(const version_name &Name);
   void save(wire::state_image &Image) const;
   void load(const wire::state_image &Image);
@@ -58,37 +69,38 @@
     double Answers = 0;
     double Ratings = 0;
     score_test Overall;
-    score_test Failures; ///< Score 1: a whole answer in time.
+    /// Scores are 1 for a complete answer in time, 0 for a failure.
+    score_test Failures;
     scope_tests ByTemplate;
     scope_tests ByAccount;
   };
-  double referenceFor(const std::string &Template, const version_name &Name,
-                      const catalog &Catalog) const;
-  static guard_report judgeOne(const version_name &Name,
-                               const version_spec &Spec,
-                               const version_record &Record);
-  static double evidenceWithout(const version_spec &Spec,
-                                const version_record &Record,
-                                const guard_scope *Scope);
-  static bool goodWithout(const version_spec &Spec,
-                          const version_record &Record,
-                          const guard_scope &Scope);
-  static std::optional<guard_scope> onlyBadScope(const version_spec &Spec,
-                                                 const version_record &Record);
+  double referenceScore(const std::string &Template, const version_name &Name,
+                        const catalog &Catalog) const;
+  static guard_report evaluateVersion(const version_name &Name,
+                                      const version_spec &Spec,
+                                      const version_record &Record);
+  static double evidenceExcluding(const version_spec &Spec,
+                                  const version_record &Record,
+                                  const guard_scope *Scope);
+  static bool passesExcluding(const version_spec &Spec,
+                              const version_record &Record,
+                              const guard_scope &Scope);
+  static std::optional<guard_scope>
+  onlyFailingScope(const version_spec &Spec, const version_record &Record);
 
   void addEstimate(const estimate_key &Key, double Score, double Cost);
 
   estimates Estimates;
-  published_cells Published;
+  published_estimates Published;
   std::map<version_name, version_record> Versions;
   uint64_t Count = 0;
 };
 
-/// Writes all cells into \p Out.
+/// Appends all cells to \p Out.
 void saveCells(const estimates &Estimates,
                google::protobuf::RepeatedPtrField<wire::rating_sum> &Out);
 
-/// Sets the cells of \p In in \p Estimates; others stay.
+/// Sets the cells of \p In in \p Estimates; others are left unchanged.
 void loadCells(const google::protobuf::RepeatedPtrField<wire::rating_sum> &In,
                estimates &Estimates);
 
--- a/ledger/rollouts.cpp
+++ b/ledger/rollouts.cpp
@@ -1,4 +1,4 @@
-//===- rollouts.cpp - Roll-outs of services' software versions ------------===//
+//===- rollouts.cpp - Roll-outs of service versions -----------------------===//
 
 #include "ledger/rollouts.h"
 #include "base/error.h"
@@ -7,28 +7,30 @@
 
 namespace {
 
-// Operators repeat an order whose answer was lost for a few seconds; the same
-// words much later are a new order.
-constexpr double ResendSeconds = 10;
+// Time for which an order with the same target version is taken as a resend,
+// also after the roll-out has ended. Operators' tools retry for a few seconds
+// when the response is lost; an equal order later starts a new roll-out.
+constexpr double ResendWindowSeconds = 10;
 
 } // namespace
 
-absl::Status rollout_book::begin(const wire::rollout &Order, double Wall) {
+absl::Status rollout_book::begin(const wire::rollout &Order,
+                                 double WallSeconds) {
   auto It = Rollouts.find(Order.service());
   if (It != Rollouts.end()) {
-    const wire::rollout &Present = It->second;
-    bool Resend = isUnderWay(Present.stage()) ||
-                  Wall < Present.begun_wall() + ResendSeconds;
-    if (Present.target_version() == Order.target_version() && Resend)
+    const wire::rollout &Existing = It->second;
+    bool Resend = isUnderWay(Existing.stage()) ||
+                  WallSeconds < Existing.begun_wall() + ResendWindowSeconds;
+    if (Existing.target_version() == Order.target_version() && Resend)
       return absl::OkStatus();
-    if (isUnderWay(Present.stage()))
+    if (isUnderWay(Existing.stage()))
       return makeError(error_kind::Conflict,
-                       "a roll-out to " + Present.target_version() +
-                           " is under way; wait for its end");
+                       "a roll-out to " + Existing.target_version() +
+                           " is in progress; wait until it has ended");
   }
   wire::rollout Begun = Order;
   Begun.set_stage(wire::CANARY);
-  Begun.set_begun_wall(Wall);
+  Begun.set_begun_wall(WallSeconds);
   Rollouts[Order.service()] = std::move(Begun);
   ++Revision;
   return absl::OkStatus();
--- a/ledger/rollouts.h
+++ b/ledger/rollouts.h
@@ -1,7 +1,7 @@
-//===- rollouts.h - Roll-outs of services' software versions ----*- C++ -*-===//
+//===- rollouts.h - Roll-outs of service versions ---------------*- C++ -*-===//
 //
-// Which service is being moved to which version and how far it has come. Part
-// of the replicated state: no clocks here.
+// For each service, the version it is rolled out to and the stage of the
+// roll-out. Part of the replicated state, so nothing here reads a clock.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,23 +16,27 @@
 
 namespace olivevalve {
 
-/// True while a roll-out still decides which version gets new requests.
+/// True until a roll-out has completed or was reverted.
 constexpr bool isUnderWay(wire::rollout_stage Stage) {
   return Stage == wire::CANARY || Stage == wire::SHIFT;
 }
 
+/// The newest roll-out of each service.
 class rollout_book {
 public:
-  /// Takes in an order. A resend changes nothing; an
-  /// order for another version while one is under way is a Conflict.
-  absl::Status begin(const wire::rollout &Order, double Wall);
-  /// Moves a roll-out on, if it still stands where the step starts from.
+  /// Starts a roll-out at \p WallSeconds, in seconds since the epoch. A resent
+  /// order changes nothing. Conflict: a roll-out of the service to another
+  /// version is in progress.
+  absl::Status begin(const wire::rollout &Order, double WallSeconds);
+  /// Moves a roll-out to the next stage. A step for another version, or from
+  /// another stage than the present one, changes nothing.
   void step(const wire::rollout_step &Step);
+  /// Null: the service never had a roll-out.
   const wire::rollout *find(std::string_view Service) const;
   const std::map<std::string, wire::rollout, std::less<>> &all() const {
     return Rollouts;
   }
-  /// Grows with each change; never the same for two states.
+  /// Incremented by each change, so that it identifies a state.
   uint64_t revision() const { return Revision; }
 
   void save(wire::state_image &Image) const;
--- a/ledger/routing_book.cpp
+++ b/ledger/routing_book.cpp
@@ -1,4 +1,4 @@
-//===- routing_book.cpp - The routing document in control's log -----------===//
+//===- routing_book.cpp - The replicated routing document -----------------===//
 
 #include "ledger/routing_book.h"
 #include "base/digest.h"
@@ -9,14 +9,14 @@
 
 namespace {
 
-// As long as an operator's call may be.
-constexpr size_t MostDocumentBytes = 16 << 20;
+// Bounds a patched document; equal to the limit on an operator's HTTP request.
+constexpr size_t MaxDocumentBytes = 16 << 20;
 
 } // namespace
 
 absl::Status routing_book::apply(const wire::routing_change &Change) {
-  // A document under a version that is not higher changes nothing: it is a
-  // resend, or the loser of a race.
+  // A version that is not higher is a resend, or was overtaken by a concurrent
+  // change.
   if (Change.version() <= Current.version())
     return absl::OkStatus();
   if (Change.base_version() == 0) {
@@ -25,11 +25,11 @@
   }
   auto Document =
       Change.base_version() == Current.version()
-          ? applyPatch(Current.document(), Change.steps(), MostDocumentBytes)
+          ? applyPatch(Current.document(), Change.steps(), MaxDocumentBytes)
           : std::nullopt;
   if (!Document || checksum(*Document) != Change.digest())
     return makeError(error_kind::NoQuorum,
-                     "the routing was changed meanwhile; send it again");
+                     "the routing was changed by another request; retry");
   Current.set_version(Change.version());
   Current.set_document(*std::move(Document));
   return absl::OkStatus();
@@ -37,17 +37,17 @@
 
 wire::routing_change makeChange(uint64_t BaseVersion, const std::string &Base,
                                 uint64_t Version, const std::string &Document) {
-  wire::routing_change Whole;
-  Whole.set_version(Version);
-  Whole.set_document(Document);
+  wire::routing_change Full;
+  Full.set_version(Version);
+  Full.set_document(Document);
   if (BaseVersion == 0)
-    return Whole;
+    return Full;
   wire::routing_change Change;
   Change.set_version(Version);
   Change.set_base_version(BaseVersion);
   *Change.mutable_steps() = makePatch(Base, Document);
   Change.set_digest(checksum(Document));
-  return Change.ByteSizeLong() < Whole.ByteSizeLong() ? Change : Whole;
+  return Change.ByteSizeLong() < Full.ByteSizeLong() ? Change : Full;
 }
 
 } // namespace olivevalve
--- a/ledger/routing_book.h
+++ b/ledger/routing_book.h
@@ -1,8 +1,8 @@
-//===- routing_book.h - The routing document in control's log ---*- C++ -*-===//
+//===- routing_book.h - The replicated routing document ---------*- C++ -*-===//
 //
-// The document in force, as the operator sent it, and the changes that lead
-// from one to the next. The highest version wins. Part of the replicated
-// state.
+// Holds the routing document with the highest version, as the operator sent it.
+// In control's log a new document may be stored as a patch of the previous one.
+// Part of the replicated state.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,12 +15,16 @@
 
 namespace olivevalve {
 
+/// The current routing document.
 class routing_book {
 public:
+  /// 0: there is no document yet.
   uint64_t version() const { return Current.version(); }
   const std::string &document() const { return Current.document(); }
 
-  /// Error: the change does not fit what is held; nothing is changed.
+  /// Replaces the document by a newer version; an older or equal version is
+  /// ignored. NoQuorum: the change is a patch of a document other than the
+  /// current one; nothing is changed.
   absl::Status apply(const wire::routing_change &Change);
 
   void save(wire::state_image &Image) const {
@@ -29,11 +33,12 @@
   void load(const wire::state_image &Image) { Current = Image.routing(); }
 
 private:
-  wire::routing_change Current; ///< With the whole document.
+  wire::routing_change Current; ///< Always holds the complete document.
 };
 
-/// The change to \p Version with \p Document, told by what differs from
-/// \p Base where that is shorter.
+/// The log command that sets \p Document as \p Version. It holds a patch of
+/// \p Base if \p BaseVersion is not 0 and the patch is shorter than the
+/// document.
 wire::routing_change makeChange(uint64_t BaseVersion, const std::string &Base,
                                 uint64_t Version, const std::string &Document);
 
--- a/ledger/text_patch.cpp
+++ b/ledger/text_patch.cpp
@@ -1,4 +1,4 @@
-//===- text_patch.cpp - One text told by another --------------------------===//
+//===- text_patch.cpp - Differences between two texts ---------------------===//
 
 #include "ledger/text_patch.h"
 #include <unordered_map>
@@ -8,12 +8,13 @@
 
 namespace {
 
-// A range has to save more than a step costs.
-constexpr size_t LeastRange = 24;
+// Shorter segments are not searched for in the old text: a step that copies one
+// takes about as many bytes as the text itself.
+constexpr size_t MinRangeBytes = 24;
 
-/// Where the piece that begins at \p At ends: before an opening brace or after
-/// a closing one.
-size_t endOfPiece(std::string_view Text, size_t At) {
+/// End of the segment that begins at \p At: before the next opening brace or
+/// after the next closing one, whichever comes first.
+size_t endOfSegment(std::string_view Text, size_t At) {
   size_t Brace = Text.find_first_of("{}", At + 1);
   if (Brace == std::string_view::npos)
     return Text.size();
@@ -21,20 +22,21 @@
 }
 
 std::vector<std::string_view> splitAtBraces(std::string_view Text) {
-  std::vector<std::string_view> Pieces;
+  std::vector<std::string_view> Segments;
   for (size_t At = 0; At < Text.size();) {
-    size_t End = endOfPiece(Text, At);
-    Pieces.push_back(Text.substr(At, End - At));
+    size_t End = endOfSegment(Text, At);
+    Segments.push_back(Text.substr(At, End - At));
     At = End;
   }
-  return Pieces;
+  return Segments;
 }
 
-/// Collects steps; a range that goes on where the last one ended joins it.
-class step_writer {
+/// Builds the list of steps; merges a range with the last one if it starts
+/// where that one ends.
+class patch_builder {
 public:
   void copy(size_t From, size_t Length) {
-    if (joins(From)) {
+    if (continuesRange(From)) {
       Last->set_length(Last->length() + Length);
       return;
     }
@@ -47,8 +49,9 @@
       Last = Steps.Add();
     Last->mutable_text()->append(Text);
   }
-  /// Where the old text would go on.
-  std::optional<size_t> goesOnAt() const {
+  /// Offset in the old text after the last step; none if that step ends with
+  /// inserted text.
+  std::optional<size_t> nextOffset() const {
     if (!Last || !Last->text().empty())
       return std::nullopt;
     return Last->from() + Last->length();
@@ -56,7 +59,7 @@
   patch_steps take() { return std::move(Steps); }
 
 private:
-  bool joins(size_t From) const { return goesOnAt() == From; }
+  bool continuesRange(size_t From) const { return nextOffset() == From; }
 
   patch_steps Steps;
   wire::patch_step *Last = nullptr;
@@ -65,35 +68,35 @@
 } // namespace
 
 patch_steps makePatch(std::string_view Old, std::string_view New) {
-  std::unordered_map<std::string_view, size_t> Places;
-  for (std::string_view Piece : splitAtBraces(Old))
-    if (Piece.size() >= LeastRange)
-      Places.emplace(Piece, size_t(Piece.data() - Old.data()));
-  step_writer Writer;
-  for (std::string_view Piece : splitAtBraces(New)) {
-    auto GoesOn = Writer.goesOnAt();
-    if (GoesOn && Old.substr(*GoesOn, Piece.size()) == Piece) {
-      Writer.copy(*GoesOn, Piece.size());
+  std::unordered_map<std::string_view, size_t> Offsets;
+  for (std::string_view Segment : splitAtBraces(Old))
+    if (Segment.size() >= MinRangeBytes)
+      Offsets.emplace(Segment, size_t(Segment.data() - Old.data()));
+  patch_builder Builder;
+  for (std::string_view Segment : splitAtBraces(New)) {
+    auto Next = Builder.nextOffset();
+    if (Next && Old.substr(*Next, Segment.size()) == Segment) {
+      Builder.copy(*Next, Segment.size());
       continue;
     }
-    auto It = Places.find(Piece);
-    if (It != Places.end())
-      Writer.copy(It->second, Piece.size());
+    auto It = Offsets.find(Segment);
+    if (It != Offsets.end())
+      Builder.copy(It->second, Segment.size());
     else
-      Writer.insert(Piece);
+      Builder.insert(Segment);
   }
-  return Writer.take();
+  return Builder.take();
 }
 
 std::optional<std::string>
-applyPatch(std::string_view Old, const patch_steps &Steps, size_t MostBytes) {
+applyPatch(std::string_view Old, const patch_steps &Steps, size_t MaxBytes) {
   std::string New;
-  New.reserve(std::min(Old.size(), MostBytes));
+  New.reserve(std::min(Old.size(), MaxBytes));
   for (const wire::patch_step &Step : Steps) {
-    bool Known =
+    bool InRange =
         Step.from() <= Old.size() && Step.length() <= Old.size() - Step.from();
-    if (!Known || Step.length() > MostBytes ||
-        New.size() + Step.length() + Step.text().size() > MostBytes)
+    if (!InRange || Step.length() > MaxBytes ||
+        New.size() + Step.length() + Step.text().size() > MaxBytes)
       return std::nullopt;
     New.append(Old.substr(Step.from(), Step.length()));
     New.append(Step.text());
--- a/ledger/text_patch.h
+++ b/ledger/text_patch.h
@@ -1,8 +1,8 @@
-//===- text_patch.h - One text told by another ------------------*- C++ -*-===//
+//===- text_patch.h - Differences between two texts -------------*- C++ -*-===//
 //
-// What a large document becomes by a small change, in as many bytes as the
-// change takes. Made for JSON: ranges of the old text begin and end at braces.
-// Pure.
+// Encodes a text as a patch of another one, so that a small change of a large
+// document takes few bytes. Intended for JSON: the ranges copied from the old
+// text begin and end at braces. Pure.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,13 +19,13 @@
 
 using patch_steps = google::protobuf::RepeatedPtrField<wire::patch_step>;
 
-/// Steps that lead from \p Old to \p New.
+/// Returns the steps that build \p New from \p Old.
 patch_steps makePatch(std::string_view Old, std::string_view New);
 
-/// None if a step names what \p Old does not have, or the result would be
-/// longer than \p MostBytes.
+/// Returns the patched text; none if a step copies a range outside \p Old or if
+/// the result would be longer than \p MaxBytes.
 std::optional<std::string>
-applyPatch(std::string_view Old, const patch_steps &Steps, size_t MostBytes);
+applyPatch(std::string_view Old, const patch_steps &Steps, size_t MaxBytes);
 
 } // namespace olivevalve
 
