--- a/catalog/catalog.cpp
+++ b/catalog/catalog.cpp
@@ -1,4 +1,4 @@
-//===- catalog.cpp - The whole configuration at one index -----------------===//
+//===- catalog.cpp - The complete configuration at one log index ----------===//
 
 #include "catalog/catalog.h"
 #include "absl/strings/str_cat.h"
@@ -11,16 +11,18 @@
 
 namespace {
 
-// Deletions remembered for deltas; a node further behind gets a whole copy.
-constexpr size_t RememberedDeletions = 4096;
+// Most deletions recorded for deltas. A node whose copy is older than the
+// recorded deletions gets a full copy.
+constexpr size_t MaxRecordedDeletions = 4096;
 
 absl::Status badReference(const object_key &Key, std::string_view What) {
   return makeError(error_kind::BadConfiguration,
                    Key.text() + ": " + std::string(What));
 }
 
-// Two upstreams with one address or two accounts with one key would make
-// requests go to the wrong place.
+// Checks that referenced objects exist and that addresses, keys and path
+// prefixes are unique: requests would be routed to the wrong upstream or
+// counted for the wrong account otherwise.
 class reference_checker {
 public:
   explicit reference_checker(const catalog &Catalog) : Catalog(Catalog) {}
@@ -39,7 +41,8 @@
     return absl::OkStatus();
   }
 
-  // Operators may delete what is placed; control then takes it away by itself.
+  // Operators may delete a version or an upstream that a placement names;
+  // control then updates the placement by itself.
   absl::Status checkOne(const object_key &, const placement_spec &) {
     return absl::OkStatus();
   }
@@ -47,20 +50,20 @@
   absl::Status checkOne(const object_key &Key, const template_spec &Spec) {
     if (Catalog.model(Spec.Name))
       return badReference(Key, "has the name of a model; names must differ");
-    return known(Key, "candidates", Spec.Candidates);
+    return checkVersions(Key, "candidates", Spec.Candidates);
   }
 
   absl::Status checkOne(const object_key &Key, const account_spec &Spec) {
     for (const std::string &Digest : Spec.KeyDigests)
       if (!Digests.insert(Digest).second)
-        return badReference(Key, "key_digests: a key belongs to two accounts");
+        return badReference(Key, "key_digests: another account has this key");
     for (const std::string &Service : Spec.Services)
       if (!Catalog.objects().contains({"service", Service}))
         return badReference(Key, "services: no service " + Service);
     for (const auto &[Template, Parameters] : Spec.Templates)
       if (!Catalog.templateNamed(Template))
         return badReference(Key, "templates: no template " + Template);
-    return known(Key, "models", Spec.Models);
+    return checkVersions(Key, "models", Spec.Models);
   }
 
   absl::Status checkOne(const object_key &Key, const upstream_spec &Spec) {
@@ -73,17 +76,17 @@
     for (const std::string &Model : Spec.Models)
       if (!Catalog.model(Model))
         return badReference(Key, "models: no model " + Model);
-    return known(Key, "versions", Spec.Versions);
+    return checkVersions(Key, "versions", Spec.Versions);
   }
 
   absl::Status checkOne(const object_key &Key, const service_spec &Spec) {
     if (!Prefixes.insert(Spec.PathPrefix).second)
-      return badReference(Key, "path_prefix: used by another service");
+      return badReference(Key, "path_prefix: another service has this prefix");
     return absl::OkStatus();
   }
 
-  absl::Status known(const object_key &Key, std::string_view Field,
-                     const std::vector<version_name> &Names) {
+  absl::Status checkVersions(const object_key &Key, std::string_view Field,
+                             const std::vector<version_name> &Names) {
     for (const version_name &Name : Names) {
       bool Found = Name.Version.empty() ? Catalog.model(Name.Model) != nullptr
                                         : Catalog.version(Name) != nullptr;
@@ -164,7 +167,8 @@
   return Best;
 }
 
-absl::Status catalog::checkExpected(const wire::config_change &Change) const {
+absl::Status
+catalog::checkExpectedIndex(const wire::config_change &Change) const {
   object_key Key{Change.kind(), Change.name()};
   auto It = Objects.find(Key);
   uint64_t Present = It == Objects.end() ? 0 : It->second.Index;
@@ -173,7 +177,7 @@
                      absl::StrCat(Key.text(), ": is at index ", Present,
                                   ", the change ", "expects index ",
                                   Change.expected_index(),
-                                  "; read it again and repeat the change"));
+                                  "; read the object and retry"));
   if (Change.delete_() && It == Objects.end())
     return makeError(error_kind::NotFound, Key.text() + ": does not exist");
   return absl::OkStatus();
@@ -200,11 +204,11 @@
 void catalog::erase(const object_key &Key, uint64_t AtIndex) {
   Objects.erase(Key);
   Deleted[Key] = AtIndex;
-  while (Deleted.size() > RememberedDeletions) {
+  while (Deleted.size() > MaxRecordedDeletions) {
     auto Oldest = std::min_element(
         Deleted.begin(), Deleted.end(),
         [](const auto &A, const auto &B) { return A.second < B.second; });
-    OldestDeletion = Oldest->second;
+    LastDroppedDeletion = Oldest->second;
     Deleted.erase(Oldest);
   }
 }
@@ -217,14 +221,14 @@
   });
 }
 
-// Works on a copy, so that a fault in the last change leaves nothing behind.
+// Works on a copy, so that an error in any change leaves the catalog unchanged.
 absl::Status catalog::applyChanges(const wire::change_set &Changes,
                                    uint64_t AtIndex) {
   if (Changes.changes().empty())
     return makeError(error_kind::BadConfiguration, "the change set is empty");
   catalog Next = *this;
   for (const wire::config_change &Change : Changes.changes()) {
-    if (absl::Status Status = Next.checkExpected(Change); !Status.ok())
+    if (absl::Status Status = Next.checkExpectedIndex(Change); !Status.ok())
       return Status;
     object_key Key{Change.kind(), Change.name()};
     if (Change.delete_()) {
@@ -245,7 +249,7 @@
 
 void catalog::fillDelta(uint64_t Since, wire::config_delta &Delta) const {
   Delta.set_index(Index);
-  Delta.set_whole(Since == 0 || Since < OldestDeletion || Since > Index);
+  Delta.set_whole(Since == 0 || Since < LastDroppedDeletion || Since > Index);
   for (const auto &[Key, Object] : Objects) {
     if (!Delta.whole() && Object.Index <= Since)
       continue;
--- a/catalog/catalog.h
+++ b/catalog/catalog.h
@@ -1,9 +1,9 @@
-//===- catalog.h - The whole configuration at one index ---------*- C++ -*-===//
+//===- catalog.h - The complete configuration at one log index --*- C++ -*-===//
 //
-// The aggregate of all documents. Each object carries the log index of its
-// last change, which is its only version number; the catalog carries the index
-// of the last change of all. References between objects are checked as a
-// whole, so that no accepted configuration points at nothing.
+// Holds all configuration documents. Each object has the log index of its last
+// change as its only version number, and the catalog has the index of the
+// newest change. References between objects are checked after each set of
+// changes, so that an accepted configuration has no dangling ones.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,38 +17,40 @@
 
 namespace olivevalve {
 
-/// Names one object.
+/// Identifies one object.
 struct object_key {
-  std::string Kind;
+  std::string Kind; ///< One of KindNames.
   std::string Name;
   auto operator<=>(const object_key &) const = default;
   std::string text() const { return Kind + "/" + Name; }
 };
 
-/// One object as it was written, with the index of its last change.
+/// One object with its source text.
 struct stored_object {
-  uint64_t Index = 0;
-  std::string Text;
+  uint64_t Index = 0; ///< Log index of the last change.
+  std::string Text;   ///< JSON as sent by the operator.
   document Document;
 };
 
 class catalog {
 public:
+  /// Log index of the newest change; 0: none yet.
   uint64_t index() const { return Index; }
   const std::map<object_key, stored_object> &objects() const { return Objects; }
 
-  /// The parsed object, or null.
+  // Each of these returns null if there is no such object.
   const model_spec *model(const std::string &Name) const;
   const template_spec *templateNamed(const std::string &Name) const;
   const account_spec *account(const std::string &Name) const;
   const upstream_spec *upstream(const std::string &Name) const;
   const node_spec *node(const std::string &Name) const;
-  /// The versions that an upstream serves, or has been assigned.
+  /// The versions in the upstream's own document, or, if it is managed, those
+  /// that control has assigned to it.
   const std::vector<version_name> &versionsOf(const upstream_spec &Spec) const;
   const version_spec *version(const version_name &Name) const;
-  /// The client account that owns the key, or null.
+  /// The client account with this key digest, or null.
   const account_spec *accountByKeyDigest(const std::string &Digest) const;
-  /// The plain service whose prefix \p Path starts with, or null.
+  /// The plain service with the longest path prefix of \p Path, or null.
   const service_spec *serviceForPath(std::string_view Path) const;
   /// Calls \p Each with every object of type Spec.
   template <typename Spec, typename Function>
@@ -58,18 +60,22 @@
         Each(*S);
   }
 
-  /// Checks \p Changes against the objects held (expected indexes, documents,
-  /// references) and, if all are good, applies all of them at \p AtIndex.
+  /// Applies all of \p Changes at \p AtIndex, or none of them. Conflict: an
+  /// object is not at the expected index. NotFound: an object to be deleted
+  /// does not exist. BadConfiguration: a document or a reference is not valid,
+  /// or there are no changes.
   absl::Status applyChanges(const wire::change_set &Changes, uint64_t AtIndex);
 
-  /// The objects changed after \p Since; a whole copy when \p Since is 0 or
-  /// older than the deletions that are remembered.
+  /// Writes the objects changed or deleted after index \p Since. The delta is a
+  /// full copy if \p Since is 0, newer than the catalog, or older than the
+  /// deletions still recorded.
   void fillDelta(uint64_t Since, wire::config_delta &Delta) const;
-  /// Takes a delta over; false if it would revert or has a gap.
+  /// Applies a delta. False, with nothing changed, if it is older than the
+  /// catalog or a document in it cannot be parsed.
   bool applyDelta(const wire::config_delta &Delta);
 
 private:
-  absl::Status checkExpected(const wire::config_change &Change) const;
+  absl::Status checkExpectedIndex(const wire::config_change &Change) const;
   absl::Status checkReferences() const;
   absl::Status put(const object_key &Key, const std::string &Text,
                    uint64_t AtIndex);
@@ -80,9 +86,10 @@
 
   uint64_t Index = 0;
   std::map<object_key, stored_object> Objects;
-  std::map<object_key, uint64_t> Deleted;
-  uint64_t OldestDeletion = 0; ///< Deletions up to here are forgotten.
-  std::map<std::string, std::string> AccountByDigest;
+  std::map<object_key, uint64_t> Deleted; ///< Index of each recorded deletion.
+  /// Deletions up to this index are no longer recorded in Deleted.
+  uint64_t LastDroppedDeletion = 0;
+  std::map<std::string, std::string> AccountByDigest; ///< Account name.
 };
 
 } // namespace olivevalve
--- a/catalog/document.cpp
+++ b/catalog/document.cpp
@@ -1,4 +1,4 @@
-//===- document.cpp - The documents that operators write ------------------===//
+//===- document.cpp - Configuration documents -----------------------------===//
 
 #include "catalog/document.h"
 #include "absl/strings/str_cat.h"
@@ -57,7 +57,7 @@
   Reader.members("versions", [&](const std::string &Name, const json &Value,
                                  const std::string &Path) {
     if (!isName(Name))
-      Faults.add(Path, "is not a version name: letters, digits, - _ . only");
+      Faults.add(Path, "version name must be 1 to 64 letters, digits, - _ .");
     Model.Versions.emplace(Name, readVersion(Value, Path, Faults));
   });
   if (Model.Versions.empty())
@@ -76,10 +76,10 @@
   case 1: {
     split_policy Split;
     Reader.elements("weights", [&](const json &Value, const std::string &Path) {
-      bool Good = Value.is_number() && Value.get<double>() >= 0;
-      if (!Good)
+      bool IsValid = Value.is_number() && Value.get<double>() >= 0;
+      if (!IsValid)
         Reader.fault("weights", Path + " must be a number of 0 or more");
-      Split.Weights.push_back(Good ? Value.get<double>() : 0);
+      Split.Weights.push_back(IsValid ? Value.get<double>() : 0);
     });
     return Split;
   }
@@ -149,12 +149,14 @@
   Reader.integer("room", Upstream.Room, {0, 64});
   Reader.texts("models", Upstream.Models);
   if (Upstream.managed() == Upstream.Models.empty())
-    Reader.fault("models", "must be given together with room, and not empty");
+    Reader.fault("models", "must be given and not be empty if room is, and not "
+                           "be given otherwise");
   bool IsEngine = !Upstream.Versions.empty() || Upstream.managed();
   if (Upstream.Service.empty() != IsEngine)
     Reader.fault("versions", "either versions, room or service must be given");
   if (Upstream.managed() && !Upstream.Versions.empty())
-    Reader.fault("versions", "must not be given with room: control decides");
+    Reader.fault("versions",
+                 "must not be given with room: control assigns them");
   Reader.integer("slots", Upstream.Slots, {1, 4096});
   Reader.flag("leaving", Upstream.Leaving);
   return Upstream;
@@ -163,11 +165,11 @@
 service_spec readService(object_reader &Reader) {
   service_spec Service;
   Reader.text("path_prefix", Service.PathPrefix, presence::Required);
-  bool Good = Service.PathPrefix.size() > 2 &&
-              Service.PathPrefix.front() == '/' &&
-              Service.PathPrefix.back() == '/' &&
-              !Service.PathPrefix.starts_with("/v1/");
-  if (!Good)
+  bool IsValid = Service.PathPrefix.size() > 2 &&
+                 Service.PathPrefix.front() == '/' &&
+                 Service.PathPrefix.back() == '/' &&
+                 !Service.PathPrefix.starts_with("/v1/");
+  if (!IsValid)
     Reader.fault("path_prefix",
                  "must start and end with '/', not be '/' or under /v1/");
   if (Reader.has("repeatable_methods"))
@@ -263,8 +265,8 @@
                                        std::string_view Name,
                                        std::string_view Text) {
   std::string Source = std::string(Kind) + "/" + std::string(Name);
-  auto Place = std::find(KindNames.begin(), KindNames.end(), Kind);
-  if (Place == KindNames.end())
+  auto KindName = std::find(KindNames.begin(), KindNames.end(), Kind);
+  if (KindName == KindNames.end())
     return makeError(error_kind::BadConfiguration,
                      Source + ": kind must be one of model, template, account, "
                               "upstream, service, node, placement");
@@ -277,7 +279,7 @@
   fault_list Faults;
   object_reader Reader(*Value, Source, Faults);
   document Document =
-      readKind(size_t(Place - KindNames.begin()), Reader, Faults);
+      readKind(size_t(KindName - KindNames.begin()), Reader, Faults);
   Reader.finish();
   if (!Faults.empty())
     return makeError(error_kind::BadConfiguration, Faults.text());
--- a/catalog/node_copy.cpp
+++ b/catalog/node_copy.cpp
@@ -1,4 +1,4 @@
-//===- node_copy.cpp - Configuration held under a lease -------------------===//
+//===- node_copy.cpp - Configuration replica under a lease ----------------===//
 
 #include "catalog/node_copy.h"
 #include <algorithm>
--- a/catalog/node_copy.h
+++ b/catalog/node_copy.h
@@ -1,8 +1,8 @@
-//===- node_copy.h - Configuration held under a lease -----------*- C++ -*-===//
+//===- node_copy.h - Configuration replica under a lease --------*- C++ -*-===//
 //
-// What an entry or a sidecar holds: a copy of the catalog that never goes
-// back, and a lease that says until when it may act on it. Pure: the clock is
-// passed in.
+// The replica of the catalog in an entry or a sidecar, which never goes back to
+// an older index, and the lease that limits how long the node may act on it.
+// Pure: the clock is passed in.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,23 +13,26 @@
 
 namespace olivevalve {
 
-/// A granted lease, counted from when the node asked. Control counts from
-/// when it answered, so its end is never before the node's.
+/// Length of a lease. A node counts it from when it sent its request, control
+/// from when it sends the grant, so that control never takes a lease as expired
+/// before the node does.
 constexpr double LeaseSeconds = 6.0;
-/// Clocks of two VMs may drift apart by this share; the node gives it away.
+/// Bounds the relative drift between the clocks of two VMs. A node shortens its
+/// lease by this fraction.
 constexpr double DriftShare = 0.01;
-/// Between two renewals of a node.
+/// Interval at which a node renews its lease.
 constexpr double RenewSeconds = 1.0;
 
+/// Times are in seconds on the node's monotonic clock.
 class node_copy {
 public:
   const catalog &config() const { return Catalog; }
   bool hasLease(double Now) const { return Now < LeaseEnd; }
   double leaseEnd() const { return LeaseEnd; }
 
-  /// Takes a grant. A grant for a delta that cannot be applied, or that
-  /// answers a question of the future, gives no lease. True if the
-  /// configuration changed.
+  /// Applies the delta in \p Grant and extends the lease. Ignores a grant whose
+  /// delta cannot be applied, or whose `sent_at`, the time of the request it
+  /// responds to, is later than \p Now. True if the configuration changed.
   bool take(const wire::grant &Grant, double Now);
 
 private:
--- a/catalog/routing.cpp
+++ b/catalog/routing.cpp
@@ -14,20 +14,22 @@
 
 constexpr std::array<std::string_view, 3> KindNames = {"safe", "unsafe",
                                                        "streaming"};
-// A day: longer waits are a slip of the unit.
+// One day. Rejects longer times, which result from a wrong unit.
 constexpr double MaxMilliseconds = 86'400'000;
-constexpr double MaxVersion = 9e15; ///< Exact in a double.
+// Bounds integers that have to be exact as a double.
+constexpr double MaxExactInteger = 9e15;
 constexpr double MaxPriority = 9;
 constexpr double MaxWeight = 1e6;
 constexpr double MaxColdSeconds = 1e6;
 constexpr double MaxColdRequests = 1e9;
-// Four times the design size and more; a gateway's memory holds it.
-constexpr size_t MostRoutes = 20000;
-constexpr size_t MostAccounts = 20000;
-constexpr size_t MostServices = 2000;
+// Bounds the memory that a document takes in a gateway. At least four times the
+// design size.
+constexpr size_t MaxRoutes = 20000;
+constexpr size_t MaxAccounts = 20000;
+constexpr size_t MaxServices = 2000;
 
-/// One document while it is read. Fields that this program does not know are
-/// passed over: whoever writes the document may be newer.
+/// Reads one document. Unknown fields are ignored, because the program that
+/// writes the document may be a newer version.
 class routing_reader {
 public:
   explicit routing_reader(fault_list &Faults) : Faults(Faults) {}
@@ -35,19 +37,20 @@
   routing_config read(const json &Document) {
     object_reader Reader(Document, "", Faults);
     int64_t Version = 0;
-    Reader.integer("version", Version, {1, MaxVersion}, presence::Required);
+    Reader.integer("version", Version, {1, MaxExactInteger},
+                   presence::Required);
     Config.Version = uint64_t(Version);
-    requireList(Reader, "routes", MostRoutes);
-    requireList(Reader, "services", MostServices);
-    limitList(Reader, "accounts", MostAccounts);
+    requireList(Reader, "routes", MaxRoutes);
+    requireList(Reader, "services", MaxServices);
+    limitList(Reader, "accounts", MaxAccounts);
     Reader.elements("services", [&](const json &Each, const std::string &Path) {
       readService(Each, Path);
     });
     Reader.elements("routes", [&](const json &Each, const std::string &Path) {
       readRoute(Each, Path);
     });
-    openObject(Reader, "limits",
-               [&](object_reader &Limits) { readLimits(Limits); });
+    readOptionalObject(Reader, "limits",
+                       [&](object_reader &Limits) { readLimits(Limits); });
     if (Reader.has("accounts"))
       Reader.elements("accounts",
                       [&](const json &Each, const std::string &Path) {
@@ -57,25 +60,27 @@
   }
 
 private:
-  void requireList(object_reader &Reader, std::string_view Key, size_t Most) {
+  void requireList(object_reader &Reader, std::string_view Key,
+                   size_t MaxElements) {
     const json *Value = Reader.raw(Key);
     if (!Value || !Value->is_array())
       Reader.fault(Key, "must be a list");
-    limitList(Reader, Key, Most);
+    limitList(Reader, Key, MaxElements);
   }
 
-  void limitList(object_reader &Reader, std::string_view Key, size_t Most) {
+  void limitList(object_reader &Reader, std::string_view Key,
+                 size_t MaxElements) {
     const json *Value = Reader.raw(Key);
-    if (Value && Value->is_array() && Value->size() > Most)
-      Reader.fault(Key,
-                   absl::StrCat("has ", Value->size(), " entries, at most ",
-                                Most, " are allowed"));
+    if (Value && Value->is_array() && Value->size() > MaxElements)
+      Reader.fault(Key, absl::StrCat("has ", Value->size(),
+                                     " elements, but at most ", MaxElements,
+                                     " are allowed"));
   }
 
-  // An object whose other fields are passed over.
+  // Reads an optional object and ignores its unknown fields.
   template <class visitor>
-  void openObject(object_reader &Reader, const std::string &Key,
-                  const visitor &Each) {
+  void readOptionalObject(object_reader &Reader, const std::string &Key,
+                          const visitor &Each) {
     const json *Value = Reader.raw(Key);
     if (!Value || Value->is_null())
       return;
@@ -102,7 +107,7 @@
                   {0, MaxColdSeconds});
     Reader.number("cold_requests_per_s", Service.ColdRequestsPerSecond,
                   {0, MaxColdRequests});
-    openObject(Reader, "engine", [&](object_reader &Engine) {
+    readOptionalObject(Reader, "engine", [&](object_reader &Engine) {
       Service.Engine = readEngine(Engine);
     });
     if (!ServiceNames.insert(Service.Name).second)
@@ -115,7 +120,7 @@
     int64_t Slots = 0;
     int64_t CacheTokens = 0;
     Reader.integer("slots", Slots, {0, 1e6});
-    Reader.integer("cache_tokens", CacheTokens, {0, MaxVersion});
+    Reader.integer("cache_tokens", CacheTokens, {0, MaxExactInteger});
     Engine.Slots = uint32_t(Slots);
     Engine.CacheTokens = uint64_t(CacheTokens);
     if (Reader.has("models"))
@@ -154,13 +159,13 @@
     if (Reader.has("sizes"))
       Reader.texts("sizes", Route.Sizes);
     readTargets(Reader, Route);
-    checkPlace(Reader, Route);
+    checkHostAndPrefix(Reader, Route);
     Config.Routes.push_back(std::move(Route));
   }
 
-  // A route names one service, or several with weights.
+  // Reads the target of a route: one service, or several with weights.
   void readTargets(object_reader &Reader, route_spec &Route) {
-    auto Known = [&](const std::string &Name, object_reader &At) {
+    auto CheckService = [&](const std::string &Name, object_reader &At) {
       if (!ServiceNames.contains(Name))
         At.fault("service", absl::StrCat("'", Name, "' is not a service"));
     };
@@ -168,7 +173,7 @@
     if (!Split || Split->is_null() || (Split->is_array() && Split->empty())) {
       std::string Service;
       Reader.text("service", Service, presence::Required);
-      Known(Service, Reader);
+      CheckService(Service, Reader);
       Route.Services.push_back({Service, 1});
       return;
     }
@@ -179,7 +184,7 @@
       int64_t Weight = 0;
       Fields.text("service", Share.Service, presence::Required);
       Fields.integer("weight", Weight, {0, MaxWeight}, presence::Required);
-      Known(Share.Service, Fields);
+      CheckService(Share.Service, Fields);
       Share.Weight = uint32_t(Weight);
       Sum += Share.Weight;
       Route.Services.push_back(std::move(Share));
@@ -188,13 +193,13 @@
       Reader.fault("split", "weights must not sum to 0");
   }
 
-  void checkPlace(object_reader &Reader, const route_spec &Route) {
+  void checkHostAndPrefix(object_reader &Reader, const route_spec &Route) {
     const std::string &Prefix = Route.PathPrefix;
     if (!Prefix.starts_with('/') || !Prefix.ends_with('/'))
       Reader.fault("path_prefix", "must start and end with '/'");
-    if (!Places.insert(Route.Host + Prefix).second)
+    if (!HostPrefixes.insert(Route.Host + Prefix).second)
       Reader.fault("path_prefix", absl::StrCat(Route.Host, Prefix,
-                                               " has another route already"));
+                                               " is used by another route"));
   }
 
   void readLimits(object_reader &Reader) {
@@ -226,14 +231,14 @@
     }
     for (const std::string &Key : Account.Keys)
       if (!Keys.insert(Key).second)
-        Reader.fault("keys", "a key belongs to another account already");
+        Reader.fault("keys", "another account has one of these keys");
     Config.Accounts.push_back(std::move(Account));
   }
 
   fault_list &Faults;
   routing_config Config;
   std::set<std::string> ServiceNames;
-  std::set<std::string> Places;
+  std::set<std::string> HostPrefixes;
   std::set<std::string> Keys;
 };
 
--- a/catalog/routing.h
+++ b/catalog/routing.h
@@ -1,8 +1,8 @@
 //===- routing.h - Routes of plain HTTP services ----------------*- C++ -*-===//
 //
-// The routing configuration: which host and path prefix goes to which service,
-// under which limits, for which client accounts. One whole document with a
-// version of its own; the highest version wins. Pure.
+// The routing configuration of the gateways: which host and path prefix is
+// routed to which service, under which limits, and for which client accounts.
+// It is a single document with its own version; the highest version wins. Pure.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,16 +22,17 @@
 
 namespace olivevalve {
 
-/// What may be repeated on a route.
+/// Whether the requests of a route may run more than once.
 enum class route_kind : uint8_t {
   Safe,     ///< A request may run more than once.
-  Unsafe,   ///< At most once for each attempt of the caller.
-  Streaming ///< Events; at most once unless the route is resumable.
+  Unsafe,   ///< At most once for each request that the caller sends.
+  Streaming ///< Answered by events; at most once unless Resumable is set.
 };
 
+/// A service and its weight in a split of traffic.
 struct service_share {
   std::string Service;
-  uint32_t Weight = 0;
+  uint32_t Weight = 0; ///< Relative to the sum of all weights of the route.
 };
 
 struct route_spec {
@@ -39,18 +40,26 @@
   std::string Host;
   std::string PathPrefix; ///< Starts and ends with a slash.
   route_kind Kind = route_kind::Safe;
-  double TimeoutSeconds = 0; ///< Longest time that a request may be held.
-  double TargetSeconds = 0;  ///< Within which an answer has its full worth.
-  double GapSeconds = 0;     ///< Longest pause between events; 0: none given.
-  uint32_t Priority = 5;     ///< 0 is the most urgent.
-  uint32_t MaxAttempts = 1;  ///< Upstreams that one request may be sent to.
-  bool Public = false;       ///< Needs no key.
-  bool Sticky = false;       ///< Upstreams hold memory of earlier requests.
-  bool Resumable = false;    ///< A stream may go on at another upstream.
+  /// Longest time that a request may take; a shorter deadline of the caller
+  /// takes precedence.
+  double TimeoutSeconds = 0;
+  /// An answer within this time has its full utility; 0: no target.
+  double TargetSeconds = 0;
+  /// Longest pause to be expected between events; 0: not given.
+  double GapSeconds = 0;
+  uint32_t Priority = 5;    ///< 0 is the most urgent, 9 the least.
+  uint32_t MaxAttempts = 1; ///< Most upstreams that a request is sent to.
+  bool Public = false;      ///< Requests need no key.
+  /// Upstreams keep state of a session's earlier requests, so its requests are
+  /// routed to the same one.
+  bool Sticky = false;
+  /// A stream that breaks may be continued by another upstream.
+  bool Resumable = false;
   std::vector<std::string> Sizes; ///< Models to choose from, smallest first.
   std::vector<service_share> Services;
 
-  /// True if a request may be sent to a second upstream after it may have run.
+  /// True if a request may be sent to a second upstream although the first may
+  /// have run it.
   bool repeatable() const {
     return Kind == route_kind::Safe ||
            (Kind == route_kind::Streaming && Resumable);
@@ -64,25 +73,29 @@
 
 /// The engine of a service that serves models.
 struct engine_spec {
-  uint32_t Slots = 0;
-  uint64_t CacheTokens = 0;
+  uint32_t Slots = 0;       ///< Requests that it processes concurrently.
+  uint64_t CacheTokens = 0; ///< Size of its KV cache.
   std::vector<model_cost> Models;
 };
 
+/// A plain HTTP service that routes refer to.
 struct routed_service {
   std::string Name;
   std::string HealthPath;
-  uint32_t MaxConnections = 0; ///< Of all callers together at one upstream.
-  std::optional<engine_spec> Engine;
-  double ColdStartSeconds = 0; ///< An upstream is cold for so long.
-  /// That a cold upstream takes from all callers; 0: no limit is told.
+  /// Most connections to one upstream, over all gateways; 0: no limit.
+  uint32_t MaxConnections = 0;
+  std::optional<engine_spec> Engine; ///< Unset: it serves no models.
+  /// An upstream counts as cold for this long after its start.
+  double ColdStartSeconds = 0;
+  /// Most requests per second to a cold upstream, over all gateways; 0: no
+  /// limit.
   double ColdRequestsPerSecond = 0;
 };
 
 struct caller_account {
   std::string Name;
   std::vector<std::string> Keys;
-  std::optional<uint32_t> Priority; ///< Before that of the route.
+  std::optional<uint32_t> Priority; ///< Unset: that of the route.
 };
 
 struct routing_config {
@@ -90,15 +103,16 @@
   std::vector<route_spec> Routes;
   std::vector<routed_service> Services;
   caller_limits Limits;
-  std::vector<caller_account> Accounts; ///< None: no request needs a key.
+  std::vector<caller_account> Accounts; ///< Empty: no request needs a key.
 };
 
-/// Reads and checks a whole document. The error lists every fault with its
-/// field and what is allowed.
+/// Reads and validates a document. The error lists every invalid field and what
+/// is allowed there.
 absl::StatusOr<routing_config> readRouting(std::string_view Text);
 
-/// A configuration with its look-ups prepared, changed part by part. What it
-/// has handed out stays as it was while somebody holds it.
+/// A routing configuration indexed for lookup, which can be updated part by
+/// part. Routes and accounts that it has returned stay valid and unchanged as
+/// long as the caller keeps the pointer.
 class routing_table {
 public:
   routing_table() = default;
@@ -109,12 +123,12 @@
   size_t routes() const { return Routes; }
   size_t accounts() const { return Accounts; }
   bool needsKeys() const { return Accounts > 0; }
-  /// The route with the longest prefix of \p Path, or null.
+  /// The route of \p Host with the longest path prefix of \p Path, or null.
   std::shared_ptr<const route_spec> route(std::string_view Host,
                                           std::string_view Path) const;
   std::shared_ptr<const caller_account>
   accountOfKey(std::string_view Key) const;
-  /// Null: not known. Holds until the next change.
+  /// Null if there is no such service. Valid until the next change.
   const routed_service *service(std::string_view Name) const;
 
   template <class visitor> void eachService(const visitor &Visit) const {
@@ -127,7 +141,7 @@
   void add(std::shared_ptr<const route_spec> Route);
   void add(std::shared_ptr<const routed_service> Service);
   void add(std::shared_ptr<const caller_account> Account);
-  /// Only what was added.
+  // Each of these requires that the object was added before.
   void remove(const route_spec &Route);
   void remove(const routed_service &Service);
   void remove(const caller_account &Account);
@@ -147,8 +161,8 @@
   caller_limits Limits;
   size_t Routes = 0;
   size_t Accounts = 0;
-  /// By host and path prefix: a look-up tries each slash of a path, so that its
-  /// cost does not grow with the number of routes.
+  /// By host and path prefix. A lookup tries the prefix up to each slash of the
+  /// path, so its cost does not depend on the number of routes.
   by_text<by_text<std::shared_ptr<const route_spec>>> ByHost;
   by_text<std::shared_ptr<const routed_service>> Services;
   by_text<std::shared_ptr<const caller_account>> ByKey;
--- a/catalog/routing_copy.cpp
+++ b/catalog/routing_copy.cpp
@@ -1,4 +1,4 @@
-//===- routing_copy.cpp - A gateway's copy of the routing -----------------===//
+//===- routing_copy.cpp - A gateway's replica of the routing --------------===//
 
 #include "catalog/routing_copy.h"
 
@@ -23,106 +23,109 @@
 } // namespace
 
 piece_result routing_copy::take(const wire::routing_piece &Piece) {
-  if (!fits(Piece))
+  if (!isExpected(Piece))
     return piece_result::Odd;
   if (Piece.piece() == 0)
-    Coming = coming{.Since = Piece.since(), .Version = Piece.version()};
-  if (!keep(Piece)) {
-    Coming.reset();
+    Pending =
+        pending_version{.Since = Piece.since(), .Version = Piece.version()};
+  if (!storePiece(Piece)) {
+    Pending.reset();
     return piece_result::Damaged;
   }
-  if (++Coming->Next < Piece.pieces())
+  if (++Pending->Next < Piece.pieces())
     return piece_result::Kept;
-  uint64_t NewDigest = digestAfter();
+  uint64_t NewDigest = pendingDigest();
   if (NewDigest != Piece.digest()) {
-    Coming.reset();
+    Pending.reset();
     return piece_result::Damaged;
   }
-  putInForce(NewDigest);
+  activate(NewDigest);
   return piece_result::InForce;
 }
 
-bool routing_copy::fits(const wire::routing_piece &Piece) const {
+bool routing_copy::isExpected(const wire::routing_piece &Piece) const {
   bool Newer = Piece.version() > version();
   bool OnHeld = Piece.since() == 0 || Piece.since() == version();
   if (!Newer || !OnHeld || Piece.piece() >= Piece.pieces())
     return false;
   if (Piece.piece() == 0)
     return true;
-  return Coming && Coming->Next == Piece.piece() &&
-         Coming->Version == Piece.version() && Coming->Since == Piece.since();
+  return Pending && Pending->Next == Piece.piece() &&
+         Pending->Version == Piece.version() && Pending->Since == Piece.since();
 }
 
-routing_copy::held routing_copy::hold(const std::string &Name,
-                                      const std::string &Bytes,
-                                      routing_part Part) {
-  struct sharer {
-    held_part operator()(caller_limits &Limits) const { return Limits; }
-    held_part operator()(route_spec &Route) const {
+routing_copy::stored_part routing_copy::makeStoredPart(const std::string &Name,
+                                                       const std::string &Bytes,
+                                                       routing_part Part) {
+  struct make_shared_part {
+    shared_part operator()(caller_limits &Limits) const { return Limits; }
+    shared_part operator()(route_spec &Route) const {
       return std::make_shared<const route_spec>(std::move(Route));
     }
-    held_part operator()(routed_service &Service) const {
+    shared_part operator()(routed_service &Service) const {
       return std::make_shared<const routed_service>(std::move(Service));
     }
-    held_part operator()(caller_account &Account) const {
+    shared_part operator()(caller_account &Account) const {
       return std::make_shared<const caller_account>(std::move(Account));
     }
   };
   return {.Digest = partDigest(Name, Bytes),
-          .Part = std::visit(sharer{}, Part)};
+          .Part = std::visit(make_shared_part{}, Part)};
 }
 
-// Decoded as it comes, so that no single turn of the loop decodes a large
-// table.
-bool routing_copy::keep(const wire::routing_piece &Piece) {
+// Stores a piece of the incomplete version; false if a part cannot be decoded.
+// Parts are decoded as they arrive, because decoding a large routing at once
+// would block the event loop.
+bool routing_copy::storePiece(const wire::routing_piece &Piece) {
   for (const wire::routing_entry &Entry : Piece.entries()) {
     auto Part = decodePart(Entry.part());
     if (!Part)
       return false;
-    Coming->Parts[Entry.name()] =
-        hold(Entry.name(), Entry.part(), *std::move(Part));
+    Pending->Parts[Entry.name()] =
+        makeStoredPart(Entry.name(), Entry.part(), *std::move(Part));
   }
   for (const std::string &Name : Piece.gone())
-    Coming->Gone.push_back(Name);
+    Pending->Removed.push_back(Name);
   return true;
 }
 
-uint64_t routing_copy::digestAfter() const {
-  uint64_t Sum = Coming->Since == 0 ? 0 : Digest;
-  auto DropOld = [&](const std::string &Name) {
+uint64_t routing_copy::pendingDigest() const {
+  uint64_t Sum = Pending->Since == 0 ? 0 : Digest;
+  auto SubtractOld = [&](const std::string &Name) {
     auto It = Parts.find(Name);
-    if (Coming->Since != 0 && It != Parts.end())
+    if (Pending->Since != 0 && It != Parts.end())
       Sum -= It->second.Digest;
   };
-  for (const std::string &Name : Coming->Gone)
-    DropOld(Name);
-  for (const auto &[Name, New] : Coming->Parts) {
-    DropOld(Name);
+  for (const std::string &Name : Pending->Removed)
+    SubtractOld(Name);
+  for (const auto &[Name, New] : Pending->Parts) {
+    SubtractOld(Name);
     Sum += New.Digest;
   }
   return Sum;
 }
 
-// All that goes is taken out first: a key may move from one account to another.
-void routing_copy::putInForce(uint64_t NewDigest) {
-  if (Coming->Since == 0) {
+// Removes all old parts before it adds new ones: a key may have moved from one
+// account to another.
+void routing_copy::activate(uint64_t NewDigest) {
+  if (Pending->Since == 0) {
     Table = std::make_shared<routing_table>();
     Parts.clear();
   }
-  for (const std::string &Name : Coming->Gone)
-    withdraw(Name);
-  for (const auto &[Name, New] : Coming->Parts)
-    withdraw(Name);
-  for (auto &[Name, New] : Coming->Parts) {
+  for (const std::string &Name : Pending->Removed)
+    removePart(Name);
+  for (const auto &[Name, New] : Pending->Parts)
+    removePart(Name);
+  for (auto &[Name, New] : Pending->Parts) {
     std::visit(part_adder{*Table}, New.Part);
     Parts[Name] = std::move(New);
   }
-  Table->setVersion(Coming->Version);
+  Table->setVersion(Pending->Version);
   Digest = NewDigest;
-  Coming.reset();
+  Pending.reset();
 }
 
-void routing_copy::withdraw(const std::string &Name) {
+void routing_copy::removePart(const std::string &Name) {
   auto It = Parts.find(Name);
   if (It == Parts.end())
     return;
--- a/catalog/routing_copy.h
+++ b/catalog/routing_copy.h
@@ -1,8 +1,9 @@
-//===- routing_copy.h - A gateway's copy of the routing ---------*- C++ -*-===//
+//===- routing_copy.h - A gateway's replica of the routing ------*- C++ -*-===//
 //
-// Takes in the pieces by which one version of the routing follows another. A
-// version comes into force only as a whole, after its digest has been checked;
-// pieces that do not fit change nothing. Pure.
+// Receives a new version of the routing as a sequence of pieces, which hold the
+// difference from the version in force or the complete routing. The new version
+// comes into force only after all pieces have arrived and the digest matches.
+// Pieces out of sequence are ignored. Pure.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,60 +18,63 @@
 
 namespace olivevalve {
 
-/// What became of a piece.
+/// Result of a received piece.
 enum class piece_result : uint8_t {
-  Odd,     ///< It does not fit what is held: nothing is changed.
-  Kept,    ///< More have to come.
-  InForce, ///< It was the last.
-  Damaged  ///< The whole cannot be what control has: it must come anew.
+  Odd,     ///< Out of sequence or of an old version; nothing is changed.
+  Kept,    ///< Stored; more pieces have to follow.
+  InForce, ///< The last one; its version is now in force.
+  /// A part cannot be decoded or the digest does not match. The pieces received
+  /// so far are dropped; the routing has to be requested again.
+  Damaged
 };
 
 class routing_copy {
 public:
   piece_result take(const wire::routing_piece &Piece);
 
-  /// Of the routing in force; 0: none.
+  /// Version in force; 0: none.
   uint64_t version() const { return Table ? Table->version() : 0; }
-  /// Null until the first is in force.
+  /// Null until a version is in force.
   const std::shared_ptr<routing_table> &table() const { return Table; }
-  /// That the pieces taken so far lead to; 0: none is under way.
-  uint64_t comingVersion() const { return Coming ? Coming->Version : 0; }
-  /// The one to come next.
-  uint32_t nextPiece() const { return Coming ? Coming->Next : 0; }
-  /// What has been taken of a version that is under way is dropped.
-  void dropComing() { Coming.reset(); }
+  /// Version of which some pieces have arrived; 0: none.
+  uint64_t comingVersion() const { return Pending ? Pending->Version : 0; }
+  /// Number of the next piece, from 0.
+  uint32_t nextPiece() const { return Pending ? Pending->Next : 0; }
+  /// Drops the pieces of an incomplete version.
+  void dropComing() { Pending.reset(); }
 
 private:
-  using held_part =
+  using shared_part =
       std::variant<std::shared_ptr<const route_spec>,
                    std::shared_ptr<const routed_service>,
                    std::shared_ptr<const caller_account>, caller_limits>;
-  struct held {
+  struct stored_part {
     uint64_t Digest = 0;
-    held_part Part;
+    shared_part Part;
   };
-  using held_parts = std::unordered_map<std::string, held>;
-  /// A version of which not all pieces are there.
-  struct coming {
-    uint64_t Since = 0;
+  using stored_parts = std::unordered_map<std::string, stored_part>;
+  /// A version of which not all pieces have arrived.
+  struct pending_version {
+    uint64_t Since = 0; ///< Version that it changes; 0: it is complete.
     uint64_t Version = 0;
-    uint32_t Next = 0;
-    held_parts Parts;
-    std::vector<std::string> Gone;
+    uint32_t Next = 0;                ///< Number of the next piece.
+    stored_parts Parts;               ///< New or changed parts, by name.
+    std::vector<std::string> Removed; ///< Names of removed parts.
   };
 
-  bool fits(const wire::routing_piece &Piece) const;
-  bool keep(const wire::routing_piece &Piece);
-  uint64_t digestAfter() const;
-  void putInForce(uint64_t NewDigest);
-  void withdraw(const std::string &Name);
-  static held hold(const std::string &Name, const std::string &Bytes,
-                   routing_part Part);
+  bool isExpected(const wire::routing_piece &Piece) const;
+  bool storePiece(const wire::routing_piece &Piece);
+  uint64_t pendingDigest() const;
+  void activate(uint64_t NewDigest);
+  void removePart(const std::string &Name);
+  static stored_part makeStoredPart(const std::string &Name,
+                                    const std::string &Bytes,
+                                    routing_part Part);
 
   std::shared_ptr<routing_table> Table;
-  held_parts Parts; ///< In force, by name.
-  uint64_t Digest = 0;
-  std::optional<coming> Coming;
+  stored_parts Parts;  ///< Parts of the version in force, by name.
+  uint64_t Digest = 0; ///< Of the version in force: sum over its parts.
+  std::optional<pending_version> Pending;
 };
 
 } // namespace olivevalve
--- a/catalog/routing_parts.cpp
+++ b/catalog/routing_parts.cpp
@@ -1,4 +1,4 @@
-//===- routing_parts.cpp - A routing configuration in parts ---------------===//
+//===- routing_parts.cpp - Parts of a routing configuration ---------------===//
 
 #include "catalog/routing_parts.h"
 #include "absl/strings/str_cat.h"
@@ -123,20 +123,21 @@
           .IdleSeconds = Part.idle_seconds()};
 }
 
-// Only what a checked configuration can hold.
-bool isSound(const wire::route_part &Part) {
+// Checks what the readers of a decoded route rely on and readRouting() ensures.
+bool isValid(const wire::route_part &Part) {
   uint64_t Weights = 0;
   for (const wire::share_part &Share : Part.services())
     Weights += Share.weight();
   return Part.kind() <= uint32_t(route_kind::Streaming) && Weights > 0;
 }
 
-// Two accounts may share a name; their places among those of that name differ.
-std::string freeName(const encoded_parts &Parts, const std::string &Name) {
-  std::string Free = Name;
-  for (int Place = 2; Parts.contains(Free); ++Place)
-    Free = absl::StrCat(Name, "#", Place);
-  return Free;
+// Returns an unused part name. Several accounts may have the same name; the
+// second and later ones get a number.
+std::string uniqueName(const encoded_parts &Parts, const std::string &Name) {
+  std::string Unique = Name;
+  for (int Number = 2; Parts.contains(Unique); ++Number)
+    Unique = absl::StrCat(Name, "#", Number);
+  return Unique;
 }
 
 } // namespace
@@ -144,7 +145,7 @@
 encoded_parts encodeParts(const routing_config &Config) {
   encoded_parts Parts;
   auto Add = [&](const std::string &Name, const wire::routing_part &Part) {
-    Parts[freeName(Parts, Name)] = Part.SerializeAsString();
+    Parts[uniqueName(Parts, Name)] = Part.SerializeAsString();
   };
   wire::routing_part Part;
   for (const route_spec &Route : Config.Routes) {
@@ -170,7 +171,7 @@
     return std::nullopt;
   switch (Part.body_case()) {
   case wire::routing_part::kRoute:
-    if (!isSound(Part.route()))
+    if (!isValid(Part.route()))
       return std::nullopt;
     return decode(Part.route());
   case wire::routing_part::kService:
--- a/catalog/routing_parts.h
+++ b/catalog/routing_parts.h
@@ -1,9 +1,9 @@
-//===- routing_parts.h - A routing configuration in parts -------*- C++ -*-===//
+//===- routing_parts.h - Parts of a routing configuration -------*- C++ -*-===//
 //
-// Takes a routing configuration apart into named parts (routes, services,
-// client accounts, the limits), so that a change can travel as the parts that
-// it touches. A digest over all parts tells whether two holders have the same.
-// Pure.
+// Splits a routing configuration into named parts (routes, services, client
+// accounts and the limits), so that a new version can be sent as the parts that
+// it changes. A digest over all parts shows whether control and a gateway hold
+// the same configuration. Pure.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,17 +22,17 @@
 using routing_part =
     std::variant<route_spec, routed_service, caller_account, caller_limits>;
 
-/// Encoded parts by name; names are the same in every version, and one part is
-/// always encoded to the same bytes.
+/// Encoded parts by name. A part has the same name in every version, and equal
+/// parts are encoded to equal bytes, so that versions can be compared.
 using encoded_parts = std::map<std::string, std::string>;
 
 encoded_parts encodeParts(const routing_config &Config);
 
-/// None if \p Bytes are no part that this program knows.
+/// Returns none if \p Bytes are corrupt or hold a part of an unknown type.
 std::optional<routing_part> decodePart(std::string_view Bytes);
 
-/// Of one part; that of a whole routing is the sum over its parts, so that it
-/// follows a change without a look at the rest.
+/// Digest of one part. The digest of a routing configuration is the sum of
+/// those of its parts, so that it can be updated from the changed parts alone.
 uint64_t partDigest(std::string_view Name, std::string_view Bytes);
 
 } // namespace olivevalve
