--- a/consensus/raft_core.h
+++ b/consensus/raft_core.h
@@ -79,11 +79,9 @@
   std::vector<wire::log_entry> Entries; ///< Those after the snapshot.
 };
 
-/// Work that the caller must do after it has passed in inputs: write Hard,
-/// Install and Entries, call synced() once they are on disk, then send the
-/// messages in Late. The messages in Early do not depend on Entries and may be
-/// sent before the sync. If Hard is set, they too have to wait for the write:
-/// other members must not see a term that this VM could lose in a crash.
+/// Work that the caller must do after it has passed in inputs: write the hard
+/// state, the snapshot and the entries, call synced() once they are on disk,
+/// and send the messages.
 struct raft_output {
   std::optional<raft_hard_state> Hard;  ///< Unset: unchanged.
   std::optional<raft_snapshot> Install; ///< Replaces log and state machine.
@@ -120,7 +118,7 @@
   /// \p Id is unknown or this VM itself, or if another membership change or
   /// the first entry of the leader's term is not committed yet.
   bool removeMember(uint64_t Id);
-  /// Reports that the entries returned by take(), up to \p Index of term
+  /// Reports that the entries returned in raft_output, up to \p Index of term
   /// \p Term, are on disk.
   void synced(uint64_t Index, uint64_t Term);
   /// Discards the entries up to \p Index, which \p Image covers. Only entries
--- a/consensus/raft_members.cpp
+++ b/consensus/raft_members.cpp
@@ -67,7 +67,7 @@
 
 // Promotes learners that have caught up with the log while there are fewer than
 // TargetVoters voters. Once there are enough, such a learner allows the removal
-// of a voter without contact for SilentSeconds, which it then replaces.
+// of a voter that has had no contact for the configured time, and replaces it.
 void raft_core::maintainMembers(double Now) {
   if (!membersSettled() || Commit < TermStartIndex)
     return;
--- a/consensus/storage.h
+++ b/consensus/storage.h
@@ -36,8 +36,9 @@
   /// Bytes of an incomplete last record that open() has truncated.
   uint64_t truncatedBytes() const { return TruncatedBytes; }
 
-  /// Writes Hard, Install and Entries of \p Output and syncs them. After an
-  /// error the state on disk is undefined and the caller must not write again.
+  /// Writes and syncs the hard state, the snapshot and the entries in
+  /// \p Output. After an error the state on disk is undefined and the caller
+  /// must not write again.
   absl::Status write(const raft_output &Output);
   /// Replaces the snapshot, and the log by \p Hard and \p Tail, the entries
   /// after the snapshot.
--- a/ledger/evacuations.h
+++ b/ledger/evacuations.h
@@ -23,7 +23,7 @@
 
   /// Evacuates or restores one data hall at \p WallSeconds, in seconds since
   /// the epoch. Does nothing if the data hall is in that state already.
-  /// Conflict: MostHalls data halls are evacuated.
+  /// Conflict: the limit on evacuated data halls is reached.
   absl::Status apply(const wire::evacuation_change &Change, double WallSeconds);
   bool contains(std::string_view DataHall) const {
     return Halls.contains(DataHall);
