--- a/entry/request_task.h
+++ b/entry/request_task.h
@@ -189,8 +189,8 @@
   bool Escalated = false; ///< The cascade has gone on to its second version.
   version_name Version;   ///< In use now; Model is empty for a plain service.
   std::string Upstream;
-  uint64_t SidecarIncarnation =
-      0; ///< Of the sidecar that the attempt is meant for.
+  /// Of the sidecar that the attempt is meant for.
+  uint64_t SidecarIncarnation = 0;
   std::set<std::string> Tried; ///< Upstreams not to be chosen again.
   wire::attempt_id Id;
   uint32_t AttemptCount = 0;
--- a/entry/upstream_pool.h
+++ b/entry/upstream_pool.h
@@ -91,7 +91,7 @@
     std::unique_ptr<client_link> Link;
     wire::news Report;             ///< Last report.
     std::set<version_name> Loaded; ///< From the last report.
-    double LastMessageAt = 0;      ///< When the last message came.
+    double LastMessageAt = 0;      ///< 0: none on the present connection.
     double NextHelloAt = 0;
     double BusySince = 0;   ///< Start of the first of the attempts in flight.
     double OwnAtReport = 0; ///< OwnInFlight when the load was reported.
