--- a/bench/choice.cpp
+++ b/bench/choice.cpp
@@ -175,7 +175,7 @@
   std::priority_queue<late_rating, std::vector<late_rating>, std::greater<>>
       Late;
   estimates Estimates;
-  prepared_choices Prepared;
+  choice_cache Prepared;
   for (int I = 0; I < Requests; ++I) {
     while (!Late.empty() && Late.top().At <= I) {
       Estimates.add(Late.top().Key, Late.top().Score, Late.top().Cost);
@@ -183,15 +183,15 @@
     }
     const bench_request &Request = List[size_t(I)];
     const bench_cell &Cell = *Request.Cell;
-    choice_question Question{.Template = Cell.Template,
-                             .Account = Cell.Account,
-                             .QualityTarget = Cell.Target,
-                             .Policy = cheapest_policy{}};
+    choice_input Question{.Template = Cell.Template,
+                          .Account = Cell.Account,
+                          .QualityTarget = Cell.Target,
+                          .Policy = cheapest_policy{}};
     Question.MayCascade = MayCascade;
     for (const bench_version &Version : Workload.Versions)
       Question.Candidates.push_back(
           {.Name = Version.Name, .PriorCost = Version.Cost});
-    choice_answer Choice = *chooseArm(Question, Estimates, Prepared, Random);
+    chosen_arm Choice = *chooseArm(Question, Estimates, Prepared, Random);
     Signature.add(Choice.Arm.text());
     auto Rate = [&](const arm &Arm, double Score, double Cost, bool AtOnce) {
       if (RatingsStop && I > Requests / 2)
--- a/bench/news.cpp
+++ b/bench/news.cpp
@@ -52,7 +52,7 @@
 news_row runNews(const news_size &Size) {
   std::mt19937_64 Random(11);
   catalog Catalog;
-  rating_book Book;
+  rating_store Book;
   estimates AtNode;
   uint64_t Known = 0;
   news_row Row{Size.Name};
--- a/bench/placement.cpp
+++ b/bench/placement.cpp
@@ -66,10 +66,10 @@
 /// The fleet with loads under way.
 class placement_run {
 public:
-  placement_run(const placement_scenario &Scenario, size_t LoadsAtOnce,
+  placement_run(const placement_scenario &Scenario, size_t MaxConcurrentLoads,
                 bool Static)
       : Scenario(Scenario), Static(Static) {
-    Question.LoadsAtOnce = LoadsAtOnce;
+    Question.MaxConcurrentLoads = MaxConcurrentLoads;
     for (size_t I = 0; I < Replicas; ++I)
       Question.Replicas.push_back({.Name = "r" + std::to_string(I),
                                    .DataHall = "hall-" + std::to_string(I % 3),
@@ -175,7 +175,7 @@
 
   const placement_scenario &Scenario;
   bool Static;
-  placement_question Question;
+  placement_input Question;
   demand Smoothed;
   std::map<std::pair<size_t, version_name>, double> LoadsEnd;
   int Loads = 0;
--- a/bench/pool_run.cpp
+++ b/bench/pool_run.cpp
@@ -24,8 +24,8 @@
   View.OwnAtReport = View.Own;
 }
 
-std::vector<replica_news> newsOf(const pick_input &Input) {
-  std::vector<replica_news> News;
+std::vector<replica_state> newsOf(const pick_input &Input) {
+  std::vector<replica_state> News;
   for (size_t I = 0; I < Input.Replicas.size(); ++I) {
     const auto &View = Input.Replicas[I].Views[Input.Entry];
     News.push_back({.OwnInFlight = View.Own,
@@ -88,10 +88,10 @@
     R.Views[Input.Entry].Own += 1;
     R.tell(Input.Entry, Input.Now);
     R.Views[Input.Entry].Queued += 1;
-    std::vector<replica_news> News = newsOf(Input);
+    std::vector<replica_state> News = newsOf(Input);
     News.erase(News.begin() + int64_t(Choice));
     size_t Again = *chooseReplica(News, Random);
-    bool Free = seemsFree(News[Again]);
+    bool Free = hasFreeSlot(News[Again]);
     Again += Again >= Choice ? 1 : 0;
     R.Views[Input.Entry].Own -= 1;
     R.tell(Input.Entry, Input.Now);
@@ -184,7 +184,7 @@
     ++Looks;
     told_load Load{uint32_t(R.Running), uint32_t(R.Waiting.size())};
     if (Now < R.ToldAt + TellEvery &&
-        !isNews(R.Told, Load, uint32_t(Pool.Slots)))
+        !isReportDue(R.Told, Load, uint32_t(Pool.Slots)))
       continue;
     R.ToldAt = Now;
     R.Told = Load;
--- a/bench/pool_run.h
+++ b/bench/pool_run.h
@@ -72,7 +72,7 @@
 using picker = std::function<size_t(const pick_input &)>;
 
 /// The news that the decision code of an entry would have.
-std::vector<replica_news> newsOf(const pick_input &Input);
+std::vector<replica_state> newsOf(const pick_input &Input);
 
 /// Waits of one class of requests, in seconds, and how many were shed.
 struct class_waits {
--- a/bench/replicas.cpp
+++ b/bench/replicas.cpp
@@ -76,7 +76,7 @@
 replica_row measurePool(bench_pool Pool, const std::string &Policy,
                         const picker &Pick, decision_signature *Signature) {
   // Only ours sends on what would have to wait.
-  Pool.Moves = Signature ? MostMoves : 0;
+  Pool.Moves = Signature ? MaxMoves : 0;
   pool_run Run(Pool, 5);
   Run.run(Pick, Signature);
   std::vector<double> &Waits = Run.Others.Waits;
@@ -150,9 +150,9 @@
     };
     Add("power of two", pickTwo, UrgentShare, 0);
     Add("perfect load news", pickPerfect, UrgentShare, 0);
-    Add("ours, one class", pickOurs, 0, MostMoves);
+    Add("ours, one class", pickOurs, 0, MaxMoves);
     Add("ours, never moved", pickOurs, UrgentShare, 0);
-    Add("olivevalve", pickOurs, UrgentShare, MostMoves);
+    Add("olivevalve", pickOurs, UrgentShare, MaxMoves);
   }
   return Rows;
 }
--- a/bench/rollout.cpp
+++ b/bench/rollout.cpp
@@ -112,7 +112,7 @@
   std::string Account;
   stopped_scopes Stopped;
   catalog Config = makeCatalog("rolling");
-  rating_book Book;
+  rating_store Book;
   run_result Result;
   std::mt19937_64 Random;
   std::uniform_real_distribution<double> Unit{0, 1};
@@ -189,9 +189,9 @@
                    decision_signature &Signature) {
   rollout_run Run(Scenario, Seed);
   estimates None;
-  prepared_choices Prepared;
+  choice_cache Prepared;
   auto UsesNew = [&](rollout_run &R, int) {
-    choice_question Question{.Template = "t", .Policy = cheapest_policy{}};
+    choice_input Question{.Template = "t", .Policy = cheapest_policy{}};
     Question.Candidates = {{.Name = {"m", "1"}}, {.Name = {"m", "2"}}};
     Question.Candidates[1].Rolling = !R.Settled;
     Question.Candidates[1].Allowance = R.Allowance;
--- a/bench/speed.cpp
+++ b/bench/speed.cpp
@@ -82,14 +82,14 @@
 std::vector<speed_row> benchSpeed() {
   estimates Estimates = ratedEstimates();
   std::mt19937_64 Random(9);
-  choice_question Question{.Template = "t1",
-                           .Account = "a1",
-                           .QualityTarget = 0.8,
-                           .Policy = cheapest_policy{}};
+  choice_input Question{.Template = "t1",
+                        .Account = "a1",
+                        .QualityTarget = 0.8,
+                        .Policy = cheapest_policy{}};
   for (int V = 0; V < Versions; ++V)
     Question.Candidates.push_back(
         {.Name = {"m", std::to_string(V)}, .PriorCost = 1.0 + V});
-  std::vector<replica_news> News(Replicas);
+  std::vector<replica_state> News(Replicas);
   for (size_t I = 0; I < Replicas; ++I)
     News[I] = {.OwnInFlight = double(I % 3),
                .ReportedRunning = double(I % 17),
@@ -97,7 +97,7 @@
                .Slots = 32,
                .PrefixScore = checksum(std::to_string(I))};
   std::vector<speed_row> Rows;
-  prepared_choices Prepared;
+  choice_cache Prepared;
   auto Choose = [&] { chooseArm(Question, Estimates, Prepared, Random); };
   // As after each news of ratings.
   auto ChooseAnew = [&] {
--- a/bench/warming.cpp
+++ b/bench/warming.cpp
@@ -26,25 +26,26 @@
                                          "few by rank"};
 
 struct cold_gateway {
-  warming_circle Before; ///< Known until it hears of the change.
-  warming_circle After;
-  double StartsAt = -ForgottenSeconds;
-  warming_pace Pace;
+  warmup_group Before; ///< Known until it hears of the change.
+  warmup_group After;
+  double StartsAt = -RestartDelaySeconds;
+  warmup_pacer Pace;
 
   double shareAt(double Now, way Way) const {
     bool Late = StartsAt <= 0 && Now < ChangeAt + NewsSeconds;
-    const warming_circle &Circle = Late ? Before : After;
+    const warmup_group &Circle = Late ? Before : After;
     if (Way == way::ByRank)
-      return warmingShare(Bears, Bounds, Circle);
-    warming_circle Alone{.Gateways = 1};
-    return warmingShare(Bears, Bounds, Alone) / double(Circle.Gateways);
+      return warmupRate(Bears, Bounds, Circle);
+    warmup_group Alone{.Gateways = 1};
+    return warmupRate(Bears, Bounds, Alone) / double(Circle.Gateways);
   }
   bool maySend(double Now, way Way) const {
     if (Now < StartsAt)
       return false;
     if (Way == way::Unbounded)
       return true;
-    bool Remembers = Way == way::ByCount || Now >= StartsAt + ForgottenSeconds;
+    bool Remembers =
+        Way == way::ByCount || Now >= StartsAt + RestartDelaySeconds;
     return Remembers && Pace.allows(Now) && shareAt(Now, Way) > 0;
   }
 };
--- a/catalog/node_copy.cpp
+++ b/catalog/node_copy.cpp
@@ -1,18 +1,19 @@
-//===- node_copy.cpp - Configuration replica under a lease ----------------===//
+//===- config_replica.cpp - Configuration replica under a lease
+//----------------===//
 
 #include "catalog/node_copy.h"
 #include <algorithm>
 
 namespace olivevalve {
 
-bool node_copy::take(const wire::grant &Grant, double Now) {
+bool config_replica::take(const wire::grant &Grant, double Now) {
   if (Grant.sent_at() > Now)
     return false;
   uint64_t Before = Catalog.index();
   if (Grant.has_delta() && !Catalog.applyDelta(Grant.delta()))
     return false;
   double Length = std::min(Grant.lease_seconds(), LeaseSeconds);
-  double End = Grant.sent_at() + Length * (1 - DriftShare);
+  double End = Grant.sent_at() + Length * (1 - MaxClockDrift);
   LeaseEnd = std::max(LeaseEnd, End);
   return Catalog.index() != Before;
 }
--- a/catalog/node_copy.h
+++ b/catalog/node_copy.h
@@ -1,4 +1,5 @@
-//===- node_copy.h - Configuration replica under a lease --------*- C++ -*-===//
+//===- config_replica.h - Configuration replica under a lease --------*- C++
+//-*-===//
 //
 // The replica of the catalog in an entry or a sidecar, which never goes back to
 // an older index, and the lease that limits how long the node may act on it.
@@ -19,12 +20,12 @@
 constexpr double LeaseSeconds = 6.0;
 /// Bounds the relative drift between the clocks of two VMs. A node shortens its
 /// lease by this fraction.
-constexpr double DriftShare = 0.01;
+constexpr double MaxClockDrift = 0.01;
 /// Interval at which a node renews its lease.
 constexpr double RenewSeconds = 1.0;
 
 /// Times are in seconds on the node's monotonic clock.
-class node_copy {
+class config_replica {
 public:
   const catalog &config() const { return Catalog; }
   bool hasLease(double Now) const { return Now < LeaseEnd; }
--- a/catalog/routing_copy.cpp
+++ b/catalog/routing_copy.cpp
@@ -1,4 +1,5 @@
-//===- routing_copy.cpp - A gateway's replica of the routing --------------===//
+//===- routing_replica.cpp - A gateway's replica of the routing
+//--------------===//
 
 #include "catalog/routing_copy.h"
 
@@ -22,7 +23,7 @@
 
 } // namespace
 
-piece_result routing_copy::take(const wire::routing_piece &Piece) {
+piece_result routing_replica::take(const wire::routing_piece &Piece) {
   if (!isExpected(Piece))
     return piece_result::Odd;
   if (Piece.piece() == 0)
@@ -43,7 +44,7 @@
   return piece_result::InForce;
 }
 
-bool routing_copy::isExpected(const wire::routing_piece &Piece) const {
+bool routing_replica::isExpected(const wire::routing_piece &Piece) const {
   bool Newer = Piece.version() > version();
   bool OnHeld = Piece.since() == 0 || Piece.since() == version();
   if (!Newer || !OnHeld || Piece.piece() >= Piece.pieces())
@@ -54,9 +55,9 @@
          Pending->Version == Piece.version() && Pending->Since == Piece.since();
 }
 
-routing_copy::stored_part routing_copy::makeStoredPart(const std::string &Name,
-                                                       const std::string &Bytes,
-                                                       routing_part Part) {
+routing_replica::stored_part
+routing_replica::makeStoredPart(const std::string &Name,
+                                const std::string &Bytes, routing_part Part) {
   struct make_shared_part {
     shared_part operator()(caller_limits &Limits) const { return Limits; }
     shared_part operator()(route_spec &Route) const {
@@ -76,7 +77,7 @@
 // Stores a piece of the incomplete version; false if a part cannot be decoded.
 // Parts are decoded as they arrive, because decoding a large routing at once
 // would block the event loop.
-bool routing_copy::storePiece(const wire::routing_piece &Piece) {
+bool routing_replica::storePiece(const wire::routing_piece &Piece) {
   for (const wire::routing_entry &Entry : Piece.entries()) {
     auto Part = decodePart(Entry.part());
     if (!Part)
@@ -89,7 +90,7 @@
   return true;
 }
 
-uint64_t routing_copy::pendingDigest() const {
+uint64_t routing_replica::pendingDigest() const {
   uint64_t Sum = Pending->Since == 0 ? 0 : Digest;
   auto SubtractOld = [&](const std::string &Name) {
     auto It = Parts.find(Name);
@@ -107,7 +108,7 @@
 
 // Removes all old parts before it adds new ones: a key may have moved from one
 // account to another.
-void routing_copy::activate(uint64_t NewDigest) {
+void routing_replica::activate(uint64_t NewDigest) {
   if (Pending->Since == 0) {
     Table = std::make_shared<routing_table>();
     Parts.clear();
@@ -125,7 +126,7 @@
   Pending.reset();
 }
 
-void routing_copy::removePart(const std::string &Name) {
+void routing_replica::removePart(const std::string &Name) {
   auto It = Parts.find(Name);
   if (It == Parts.end())
     return;
--- a/catalog/routing_copy.h
+++ b/catalog/routing_copy.h
@@ -1,4 +1,5 @@
-//===- routing_copy.h - A gateway's replica of the routing ------*- C++ -*-===//
+//===- routing_replica.h - A gateway's replica of the routing ------*- C++
+//-*-===//
 //
 // Receives a new version of the routing as a sequence of pieces, which hold the
 // difference from the version in force or the complete routing. The new version
@@ -28,7 +29,7 @@
   Damaged
 };
 
-class routing_copy {
+class routing_replica {
 public:
   piece_result take(const wire::routing_piece &Piece);
 
@@ -37,11 +38,11 @@
   /// Null until a version is in force.
   const std::shared_ptr<routing_table> &table() const { return Table; }
   /// Version of which some pieces have arrived; 0: none.
-  uint64_t comingVersion() const { return Pending ? Pending->Version : 0; }
+  uint64_t pendingVersion() const { return Pending ? Pending->Version : 0; }
   /// Number of the next piece, from 0.
   uint32_t nextPiece() const { return Pending ? Pending->Next : 0; }
   /// Drops the pieces of an incomplete version.
-  void dropComing() { Pending.reset(); }
+  void dropPending() { Pending.reset(); }
 
 private:
   using shared_part =
--- a/consensus/raft_core.cpp
+++ b/consensus/raft_core.cpp
@@ -22,7 +22,8 @@
 
 std::string_view nameOf(raft_role Role) { return RoleNames[size_t(Role)]; }
 
-raft_core::raft_core(raft_options NewOptions, raft_durable Durable, double Now)
+raft_core::raft_core(raft_options NewOptions, raft_durable_state Durable,
+                     double Now)
     : Options(std::move(NewOptions)), Random(Options.Seed),
       Hard(std::move(Durable.Hard)), Snapshot(std::move(Durable.Snapshot)),
       Log(Durable.Entries.begin(), Durable.Entries.end()) {
@@ -229,7 +230,7 @@
   return It == Peers.end() ? 0 : Now - It->second.LastContact;
 }
 
-uint64_t raft_core::matchOf(uint64_t Id) const {
+uint64_t raft_core::matchIndex(uint64_t Id) const {
   if (Id == Options.Id)
     return SyncedIndex;
   auto It = Peers.find(Id);
@@ -513,7 +514,7 @@
   std::vector<uint64_t> Matches;
   for (const wire::member &Member : Members.members())
     if (Member.voter())
-      Matches.push_back(matchOf(Member.id()));
+      Matches.push_back(matchIndex(Member.id()));
   if (Matches.empty())
     return;
   std::sort(Matches.rbegin(), Matches.rend());
--- a/consensus/raft_core.h
+++ b/consensus/raft_core.h
@@ -73,7 +73,7 @@
 };
 
 /// State read from the disk when the process starts.
-struct raft_durable {
+struct raft_durable_state {
   raft_hard_state Hard;
   raft_snapshot Snapshot;
   std::vector<wire::log_entry> Entries; ///< Those after the snapshot.
@@ -102,7 +102,7 @@
 /// and must not decrease from call to call.
 class raft_core {
 public:
-  raft_core(raft_options Options, raft_durable Durable, double Now);
+  raft_core(raft_options Options, raft_durable_state Durable, double Now);
 
   /// Starts a new group with this VM as its only voter.
   void bootstrap(const std::string &Group, double Now);
@@ -149,7 +149,7 @@
   /// such peer.
   double silence(uint64_t Id, double Now) const;
   /// Last log index known to be on the disk of member \p Id; 0 if unknown.
-  uint64_t matchOf(uint64_t Id) const;
+  uint64_t matchIndex(uint64_t Id) const;
   const raft_snapshot &snapshot() const { return Snapshot; }
   const raft_hard_state &hardState() const { return Hard; }
   std::vector<wire::log_entry> entriesAfterSnapshot() const {
@@ -157,7 +157,7 @@
   }
   /// False while the newest membership change is not committed; the loss of a
   /// VM may still revert it.
-  bool membersSettled() const { return MembersIndex <= Commit; }
+  bool membershipCommitted() const { return MembersIndex <= Commit; }
   /// True if members() includes this VM with its present disk.
   bool isMember() const;
 
--- a/consensus/raft_members.cpp
+++ b/consensus/raft_members.cpp
@@ -43,7 +43,7 @@
   if (const wire::member *LeaderMember = member(Leader))
     Reply.set_leader_address(LeaderMember->address());
   Late.push_back(std::move(Reply));
-  bool Ready = isLeader() && membersSettled() && Commit >= TermStartIndex;
+  bool Ready = isLeader() && membershipCommitted() && Commit >= TermStartIndex;
   const wire::member *Existing = member(Message.from());
   bool AlreadyMember = Existing && Existing->disk() == Message.disk();
   if (!Ready || AlreadyMember || Message.from() == Options.Id)
@@ -69,7 +69,7 @@
 // TargetVoters voters. Once there are enough, such a learner allows the removal
 // of a voter that has had no contact for the configured time, and replaces it.
 void raft_core::maintainMembers(double Now) {
-  if (!membersSettled() || Commit < TermStartIndex)
+  if (!membershipCommitted() || Commit < TermStartIndex)
     return;
   for (const wire::member &Learner : Members.members()) {
     if (Learner.voter())
@@ -96,7 +96,7 @@
 }
 
 bool raft_core::removeMember(uint64_t Id) {
-  if (!isLeader() || !membersSettled() || Commit < TermStartIndex ||
+  if (!isLeader() || !membershipCommitted() || Commit < TermStartIndex ||
       Id == Options.Id || !member(Id))
     return false;
   wire::member_list Next;
--- a/consensus/storage.h
+++ b/consensus/storage.h
@@ -32,7 +32,7 @@
   /// Identity of the disk: a random number chosen when the folder is created.
   uint64_t disk() const { return Disk; }
   /// Moves out the state that open() has read; to be called once.
-  raft_durable takeDurable() { return std::move(Durable); }
+  raft_durable_state takeDurableState() { return std::move(Durable); }
   /// Bytes of an incomplete last record that open() has truncated.
   uint64_t truncatedBytes() const { return TruncatedBytes; }
 
@@ -65,7 +65,7 @@
   uint64_t TruncatedBytes = 0;
   uint64_t LogBytes = 0;
   uint64_t Syncs = 0;
-  raft_durable Durable;
+  raft_durable_state Durable;
   raft_hard_state LastHardState; ///< As last written or read.
 };
 
--- a/control/control_task.cpp
+++ b/control/control_task.cpp
@@ -64,7 +64,7 @@
 control_task::control_task(link_context &Context, struct ev_loop *Loop,
                            metrics &Metrics, control_options NewOptions)
     : Loop(Loop), Metrics(Metrics), Options(std::move(NewOptions)),
-      Placer(Options.LoadsAtOnce),
+      Placer(Options.MaxConcurrentLoads),
       Server(Context, Loop,
              [this](const std::string &Peer, const wire::envelope &Message) {
                receive(Peer, Message);
@@ -155,7 +155,7 @@
 
 void control_task::fillEstimates(wire::estimate_table &Table,
                                  uint64_t HeldIndex) const {
-  const rating_book &Ratings = Log->state().ratings();
+  const rating_store &Ratings = Log->state().ratings();
   double Now = steadySeconds();
   for (const guard_report &Report : Reports) {
     const version_spec *Spec = Log->state().config().version(Report.Name);
--- a/control/control_task.h
+++ b/control/control_task.h
@@ -30,7 +30,7 @@
   /// Digests of the keys that operators may use; empty: no key is required.
   std::vector<std::string> OperatorKeyDigests;
   /// Number of versions that may be loaded from the weight store at once.
-  size_t LoadsAtOnce = 2;
+  size_t MaxConcurrentLoads = 2;
   /// Address of the platform's list of upstreams; empty: control does not poll
   /// the list and each gateway fetches it for itself.
   std::string UpstreamListAddress;
@@ -111,9 +111,9 @@
   node_table Nodes;
   gateway_table Gateways;
   rollout_driver Rollouts;
-  quarantine_keeper Quarantine;
+  quarantine_manager Quarantine;
   upstream_list_publisher Upstreams;
-  routing_news RoutingPublisher;
+  routing_publisher RoutingPublisher;
   uint64_t LedTerm = 0;
   std::map<std::string, bool> GuardPending;
   std::vector<guard_report> Reports;
--- a/control/gateway_news.cpp
+++ b/control/gateway_news.cpp
@@ -42,7 +42,7 @@
 // Adds nothing if the receiver holds the current revision.
 void control_task::fillQuarantine(uint64_t HeldRevision,
                                   wire::quarantine_news &Update) const {
-  const quarantine_book &Committed = Log->state().quarantine();
+  const quarantine_store &Committed = Log->state().quarantine();
   if (Committed.revision() <= HeldRevision)
     return;
   Update.set_revision(Committed.revision());
@@ -94,7 +94,7 @@
 }
 
 void control_task::updateRouting() {
-  const routing_book &Routing = Log->state().routing();
+  const routing_store &Routing = Log->state().routing();
   if (Routing.version() <= RoutingPublisher.version())
     return;
   if (auto Config = Api->routing().takeParsed(Routing.document()))
--- a/control/node_table.cpp
+++ b/control/node_table.cpp
@@ -9,7 +9,7 @@
 
 // Control counts a lease as longer than the node does, by the tolerated drift
 // between their clocks.
-constexpr double ControlLeaseSeconds = LeaseSeconds * (1 + DriftShare);
+constexpr double ControlLeaseSeconds = LeaseSeconds * (1 + MaxClockDrift);
 // Nodes not seen for this long are removed from the table.
 constexpr double NodeRetentionSeconds = 600;
 // Share of a client account's limits that is split evenly among entries, so
--- a/control/operator_api.cpp
+++ b/control/operator_api.cpp
@@ -170,7 +170,8 @@
         auto Exchange = Weak.lock();
         if (!Exchange)
           return;
-        logLine(log_level::Info, "configuration in force at all nodes with a lease",
+        logLine(log_level::Info,
+                "configuration in force at all nodes with a lease",
                 {{"index", int64_t(Index)}, {"seconds", Seconds}});
         replyJson(*Exchange, 200,
                   {{"index", Index},
@@ -209,7 +210,7 @@
          {"address", Member.address()},
          {"disk", hexOf(Member.disk())},
          {"voter", Member.voter()},
-         {"match", Core.isLeader() ? Core.matchOf(Member.id()) : 0},
+         {"match", Core.isLeader() ? Core.matchIndex(Member.id()) : 0},
          {"silent_seconds",
           Core.isLeader() ? Core.silence(Member.id(), Now) : 0.0}});
   replyJson(*Exchange, 200,
@@ -227,7 +228,7 @@
              {"ratings", Control.Log->state().ratings().ratings()},
              {"claims", Control.Log->state().claims().size()},
              {"pins", Control.Log->state().pins().size()},
-             {"members_settled", Core.membersSettled()},
+             {"members_settled", Core.membershipCommitted()},
              {"members", Members}});
 }
 
@@ -341,7 +342,7 @@
     ++Halls[Gateway.DataHall].Processes;
   for (const auto &[Peer, Node] : Control.Nodes.nodes())
     ++Halls[Node.DataHall].Processes;
-  const evacuation_book &Evacuations = Control.Log->state().evacuations();
+  const evacuation_store &Evacuations = Control.Log->state().evacuations();
   for (const auto &[Name, Evacuation] : Evacuations.all())
     Halls[Name].Evacuated = true;
   json List = json::array();
--- a/control/placer.cpp
+++ b/control/placer.cpp
@@ -44,10 +44,9 @@
   DemandUpdatedAt = Now;
 }
 
-placement_question placer::makeInput(const catalog &Config,
-                                     const node_table &Nodes,
-                                     double Now) const {
-  placement_question Input{.LoadsAtOnce = LoadsAtOnce};
+placement_input placer::makeInput(const catalog &Config,
+                                  const node_table &Nodes, double Now) const {
+  placement_input Input{.MaxConcurrentLoads = MaxConcurrentLoads};
   Config.forEach<upstream_spec>([&](const upstream_spec &Spec) {
     if (!Spec.managed())
       return;
@@ -78,7 +77,7 @@
 std::optional<wire::change_set>
 placer::next(const catalog &Config, const node_table &Nodes, double Now) {
   updateDemand(Nodes, Now);
-  placement_question Input = makeInput(Config, Nodes, Now);
+  placement_input Input = makeInput(Config, Nodes, Now);
   auto Step = nextPlacement(Input);
   if (!Step)
     return std::nullopt;
--- a/control/placer.h
+++ b/control/placer.h
@@ -18,7 +18,8 @@
 
 class placer {
 public:
-  explicit placer(size_t LoadsAtOnce) : LoadsAtOnce(LoadsAtOnce) {}
+  explicit placer(size_t MaxConcurrentLoads)
+      : MaxConcurrentLoads(MaxConcurrentLoads) {}
 
   /// The next change to commit, if any. The change names the index that it is
   /// based on, so that it fails if the placement has been changed meanwhile.
@@ -27,10 +28,10 @@
 
 private:
   void updateDemand(const node_table &Nodes, double Now);
-  placement_question makeInput(const catalog &Config, const node_table &Nodes,
-                               double Now) const;
+  placement_input makeInput(const catalog &Config, const node_table &Nodes,
+                            double Now) const;
 
-  size_t LoadsAtOnce;
+  size_t MaxConcurrentLoads;
   /// Requests running and queued by version, smoothed.
   std::map<version_name, double> Demand;
   double DemandUpdatedAt = 0; ///< 0: no demand was measured yet.
--- a/control/quarantine_keeper.cpp
+++ b/control/quarantine_keeper.cpp
@@ -1,4 +1,5 @@
-//===- quarantine_keeper.cpp - Decides which requests to quarantine -------===//
+//===- quarantine_manager.cpp - Decides which requests to quarantine
+//-------===//
 
 #include "control/quarantine_keeper.h"
 #include <algorithm>
@@ -18,7 +19,7 @@
 
 } // namespace
 
-void quarantine_keeper::heard(const wire::crash_news &Crashes, double Now) {
+void quarantine_manager::heard(const wire::crash_news &Crashes, double Now) {
   for (const wire::request_name &Name : Crashes.answered())
     Evidence.answered(digestOf(Name), Now);
   for (const wire::crash_report &Report : Crashes.crashes())
@@ -30,8 +31,8 @@
 // A released request starts without evidence against it, whoever released it.
 // Gateways keep sending their earlier crash reports for some time; recording an
 // answer makes those count for nothing.
-void quarantine_keeper::synchronize(const quarantine_book &Quarantined,
-                                    double Now) {
+void quarantine_manager::synchronize(const quarantine_store &Quarantined,
+                                     double Now) {
   std::erase_if(FirstSeenAt, [&](const auto &Each) {
     bool IsReleased = !Quarantined.contains(Each.first);
     if (IsReleased)
@@ -42,7 +43,7 @@
     FirstSeenAt.try_emplace(digestOf(Each.request()), Now);
 }
 
-bool quarantine_keeper::mayPropose(const short_digest &Request, double Now) {
+bool quarantine_manager::mayPropose(const short_digest &Request, double Now) {
   double &At = ProposedAt[Request];
   if (At > 0 && Now < At + ProposalTimeoutSeconds)
     return false;
@@ -51,18 +52,18 @@
 }
 
 std::vector<wire::quarantine_change>
-quarantine_keeper::changes(const quarantine_book &Quarantined, double Now) {
+quarantine_manager::changes(const quarantine_store &Quarantined, double Now) {
   synchronize(Quarantined, Now);
   std::erase_if(ProposedAt, [&](const auto &Each) {
     return Now >= Each.second + ProposalTimeoutSeconds;
   });
   std::vector<wire::quarantine_change> Changes;
   for (const auto &[Request, Since] : FirstSeenAt)
-    if ((Evidence.answeredLately(Request, Now) ||
+    if ((Evidence.answeredRecently(Request, Now) ||
          Now >= Since + MaxQuarantineSeconds) &&
         mayPropose(Request, Now))
       Changes.push_back(releaseOf(Request));
-  for (const short_digest &Request : Evidence.allConvicted(Now)) {
+  for (const short_digest &Request : Evidence.requestsToQuarantine(Now)) {
     if (Quarantined.contains(Request) || !mayPropose(Request, Now))
       continue;
     wire::quarantined_request &Add = *Changes.emplace_back().mutable_add();
@@ -73,8 +74,8 @@
   return Changes;
 }
 
-double quarantine_keeper::secondsLeft(const short_digest &Request,
-                                      double Now) const {
+double quarantine_manager::secondsLeft(const short_digest &Request,
+                                       double Now) const {
   auto It = FirstSeenAt.find(Request);
   double Since = It == FirstSeenAt.end() ? Now : It->second;
   return std::max(0.0, Since + MaxQuarantineSeconds - Now);
--- a/control/quarantine_keeper.h
+++ b/control/quarantine_keeper.h
@@ -1,4 +1,4 @@
-//===- quarantine_keeper.h - Decides which requests to quarantine -*- C++ -*-//
+//===- quarantine_manager.h - Decides which requests to quarantine -*- C++ -*-//
 //
 // Combines the crash reports of all processes and proposes which requests are
 // added to the replicated quarantine and which are released from it. A new
@@ -16,7 +16,7 @@
 
 namespace olivevalve {
 
-class quarantine_keeper {
+class quarantine_manager {
 public:
   /// Requests are released after this time, as the fault in the upstreams may
   /// have been fixed.
@@ -26,13 +26,13 @@
   void heard(const wire::crash_news &Crashes, double Now);
   /// Changes of \p Quarantined that are due, except those proposed recently.
   std::vector<wire::quarantine_change>
-  changes(const quarantine_book &Quarantined, double Now);
+  changes(const quarantine_store &Quarantined, double Now);
   /// Seconds until a request is released, counted from when this VM first saw
   /// it in quarantine.
   double secondsLeft(const short_digest &Request, double Now) const;
 
 private:
-  void synchronize(const quarantine_book &Quarantined, double Now);
+  void synchronize(const quarantine_store &Quarantined, double Now);
   bool mayPropose(const short_digest &Request, double Now);
 
   crash_evidence Evidence{{.MostRequests = 1 << 14}};
--- a/control/replicated_log.cpp
+++ b/control/replicated_log.cpp
@@ -33,7 +33,7 @@
   std::unique_ptr<replicated_log> Log(
       new replicated_log(Context, Loop, std::move(Options)));
   Log->Storage = *std::move(Storage);
-  raft_durable Durable = Log->Storage->takeDurable();
+  raft_durable_state Durable = Log->Storage->takeDurableState();
   bool Restorable =
       Durable.Snapshot.Index == 0 || Log->State.restore(Durable.Snapshot.Image);
   if (!Restorable)
--- a/control/rollout_driver.cpp
+++ b/control/rollout_driver.cpp
@@ -48,17 +48,17 @@
 }
 
 std::vector<wire::rollout_step>
-rollout_driver::steps(const rollout_book &Rollouts,
+rollout_driver::steps(const rollout_store &Rollouts,
                       const gateway_table &Gateways, double Now, double Wall) {
   std::vector<wire::rollout_step> Steps;
   for (const auto &[Service, Rollout] : Rollouts.all()) {
-    if (!isUnderWay(Rollout.stage()))
+    if (!isInProgress(Rollout.stage()))
       continue;
     const std::string &Target = Rollout.target_version();
     baseline &Baseline = baselineOf(Rollout, Gateways, Now, Wall);
     bool Canary = Rollout.stage() == wire::CANARY;
-    rollout_judgement Judgement = judgeRollout(
-        {.Stand = Canary ? rollout_stand::Canary : rollout_stand::Shift,
+    rollout_decision Judgement = judgeRollout(
+        {.Stand = Canary ? rollout_phase::Canary : rollout_phase::Shift,
          .ElapsedSeconds = Now - Baseline.BegunAt,
          .DurationSeconds = Rollout.duration_seconds(),
          .New = Gateways.answersOf(Service, Target) - Baseline.NewAtStart,
--- a/control/rollout_driver.h
+++ b/control/rollout_driver.h
@@ -22,7 +22,7 @@
 public:
   /// The steps that are due. \p Now is the steady clock; \p Wall is the wall
   /// clock, by which orders are timestamped.
-  std::vector<wire::rollout_step> steps(const rollout_book &Rollouts,
+  std::vector<wire::rollout_step> steps(const rollout_store &Rollouts,
                                         const gateway_table &Gateways,
                                         double Now, double Wall);
 
--- a/control/routing_api.cpp
+++ b/control/routing_api.cpp
@@ -170,7 +170,7 @@
 // the traffic between control VMs.
 wire::routing_change routing_api::makeChangeTo(uint64_t Version,
                                                const std::string &Document) {
-  const routing_book &Routing = Log.state().routing();
+  const routing_store &Routing = Log.state().routing();
   bool HasNewerProposal = LastProposal.Term == Log.core().term() &&
                           LastProposal.Version > Routing.version();
   uint64_t BaseVersion =
@@ -180,17 +180,17 @@
   // A version that is not newer will be ignored, so its document is left out.
   if (Version <= BaseVersion)
     return Change;
-  Change =
-      makeChange(BaseVersion,
-                 HasNewerProposal ? LastProposal.Document : Routing.document(),
-                 Version, Document);
+  Change = makeRoutingChange(BaseVersion,
+                             HasNewerProposal ? LastProposal.Document
+                                              : Routing.document(),
+                             Version, Document);
   LastProposal = {
       .Term = Log.core().term(), .Version = Version, .Document = Document};
   return Change;
 }
 
 void routing_api::getRouting(const exchange &Exchange) {
-  const routing_book &Routing = Log.state().routing();
+  const routing_store &Routing = Log.state().routing();
   if (Routing.version() == 0)
     return refuse(*Exchange, error_kind::NoQuorum,
                   "no routing configuration has been set yet");
--- a/control/routing_news.cpp
+++ b/control/routing_news.cpp
@@ -1,4 +1,5 @@
-//===- routing_news.cpp - Sends routing changes in pieces -----------------===//
+//===- routing_publisher.cpp - Sends routing changes in pieces
+//-----------------===//
 
 #include "control/routing_news.h"
 #include <algorithm>
@@ -58,7 +59,7 @@
 
 } // namespace
 
-void routing_news::take(const routing_config &Config) {
+void routing_publisher::take(const routing_config &Config) {
   if (Config.Version <= Version)
     return;
   encoded_parts Next = encodeParts(Config);
@@ -93,11 +94,12 @@
 // after the older of the two then include all that the gateway lacks. The
 // exception is a part that was changed and changed back in between: then the
 // digest does not match, and the gateway requests the complete routing.
-bool routing_news::hasChangesSince(uint64_t HeldVersion) const {
+bool routing_publisher::hasChangesSince(uint64_t HeldVersion) const {
   return !Changes.empty() && HeldVersion >= Changes.front().Version;
 }
 
-routing_news::transfer routing_news::makeTransfer(uint64_t HeldVersion) const {
+routing_publisher::transfer
+routing_publisher::makeTransfer(uint64_t HeldVersion) const {
   transfer Result{.HeldVersion = HeldVersion, .Version = Version};
   piece_builder Builder(Result.Pieces);
   bool ByChanges = hasChangesSince(HeldVersion);
@@ -130,8 +132,8 @@
 // A transfer that a gateway has begun is continued even if there is a newer
 // version. With ten changes a second, a large transfer that starts over with
 // each change would never complete.
-routing_news::transfer &routing_news::transferFor(uint64_t HeldVersion,
-                                                  uint64_t Target) {
+routing_publisher::transfer &
+routing_publisher::transferFor(uint64_t HeldVersion, uint64_t Target) {
   auto Find = [&](uint64_t To) {
     return std::find_if(
         Transfers.begin(), Transfers.end(), [&](const transfer &Each) {
@@ -153,13 +155,13 @@
   return Transfers.back();
 }
 
-void routing_news::evictTransfers() {
+void routing_publisher::evictTransfers() {
   while (Transfers.size() > 1 &&
          (Transfers.size() > MaxTransfers || keptBytes() > MaxTransferBytes))
     Transfers.pop_front();
 }
 
-size_t routing_news::keptBytes() const {
+size_t routing_publisher::keptBytes() const {
   size_t Sum = 0;
   for (const transfer &Each : Transfers)
     Sum += Each.Bytes;
@@ -167,7 +169,7 @@
 }
 
 std::optional<wire::routing_piece>
-routing_news::piece(const wire::routing_ask &Request) {
+routing_publisher::piece(const wire::routing_ask &Request) {
   if (Version == 0 || Request.held_version() >= Version)
     return std::nullopt;
   const transfer &Transfer =
--- a/control/routing_news.h
+++ b/control/routing_news.h
@@ -1,4 +1,5 @@
-//===- routing_news.h - Sends routing changes in pieces ---------*- C++ -*-===//
+//===- routing_publisher.h - Sends routing changes in pieces ---------*- C++
+//-*-===//
 //
 // Holds the routing in encoded parts, with the names of the parts that each of
 // the latest changes touched. What a gateway lacks is cut into small pieces,
@@ -19,7 +20,7 @@
 
 namespace olivevalve {
 
-class routing_news {
+class routing_publisher {
 public:
   /// Replaces the routing. A version that is not newer is ignored.
   void take(const routing_config &Config);
--- a/control/upstream_news.cpp
+++ b/control/upstream_news.cpp
@@ -82,7 +82,7 @@
   if (Base == Changes.rend()) {
     List.set_whole(true);
     for (const auto &[Id, Entry] : Entries)
-      platform::addTo(List, Entry);
+      platform::appendUpstream(List, Entry);
     return List;
   }
   List.set_since(Held);
@@ -94,7 +94,7 @@
     if (It == Entries.end())
       List.add_gone(Id);
     else
-      platform::addTo(List, It->second);
+      platform::appendUpstream(List, It->second);
   }
   return List;
 }
--- a/daemon/settings.cpp
+++ b/daemon/settings.cpp
@@ -79,7 +79,8 @@
   entry_options Entry;
   Addresses.read(Reader, "address", Entry.Address, presence::Required);
   readUrl(Reader, "rating_url", Entry.RatingUrl, presence::Optional);
-  Reader.number("default_deadline_seconds", Entry.DefaultDeadline, {0.1, 3600});
+  Reader.number("default_deadline_seconds", Entry.DefaultDeadlineSeconds,
+                {0.1, 3600});
   Reader.integer("max_body_bytes", Entry.MaxBodyBytes, {1024, 64 << 20});
   Reader.integer("max_open_requests", Entry.MaxOpenRequests, {1, 60000});
   return Entry;
@@ -148,7 +149,7 @@
                             bool BySeeds) {
   control_options Control;
   int64_t SnapshotBytes = int64_t(Control.Log.SnapshotBytes);
-  int64_t LoadsAtOnce = int64_t(Control.LoadsAtOnce);
+  int64_t MaxConcurrentLoads = int64_t(Control.MaxConcurrentLoads);
   readPlace(Reader, Addresses, Members, BySeeds, Control);
   Addresses.read(Reader, "operator_address", Control.OperatorAddress,
                  presence::Required);
@@ -158,12 +159,12 @@
                  presence::Optional);
   Reader.number("replace_after_seconds", Control.Log.SilentSeconds, {1, 86400});
   Reader.integer("snapshot_bytes", SnapshotBytes, {1024, 1 << 30});
-  Reader.integer("loads_at_once", LoadsAtOnce, {1, 1000});
+  Reader.integer("loads_at_once", MaxConcurrentLoads, {1, 1000});
   Control.Log.Address = Control.Address;
   Control.Log.OperatorAddress = Control.OperatorAddress;
   Control.Log.Peers = Members;
   Control.Log.SnapshotBytes = uint64_t(SnapshotBytes);
-  Control.LoadsAtOnce = size_t(LoadsAtOnce);
+  Control.MaxConcurrentLoads = size_t(MaxConcurrentLoads);
   return Control;
 }
 
--- a/entry/entry_task.cpp
+++ b/entry/entry_task.cpp
@@ -179,7 +179,7 @@
   Facts.Key = Exchange.header("Idempotency-Key");
   Facts.Session = Exchange.header("X-Session");
   Facts.Arrived = steadySeconds();
-  double Deadline = Options.DefaultDeadline;
+  double Deadline = Options.DefaultDeadlineSeconds;
   std::string Text = Exchange.header("X-Deadline-Ms");
   double Milliseconds = 0;
   auto Parsed =
--- a/entry/entry_task.h
+++ b/entry/entry_task.h
@@ -17,9 +17,9 @@
 struct entry_options {
   std::string Node;
   std::string DataHall;
-  std::string Address;         ///< "IP:port" where callers connect.
-  std::string RatingUrl;       ///< "http://IP:port"; empty: no ratings.
-  double DefaultDeadline = 60; ///< Seconds, for callers that give none.
+  std::string Address;                ///< "IP:port" where callers connect.
+  std::string RatingUrl;              ///< "http://IP:port"; empty: no ratings.
+  double DefaultDeadlineSeconds = 60; ///< Seconds, for callers that give none.
   int64_t MaxBodyBytes = 8 << 20;
   int64_t MaxOpenRequests = 4000;
   std::vector<control_member_address> Control;
@@ -82,7 +82,7 @@
   rater Rater;
   sessions Sessions;
   estimates Estimates;
-  prepared_choices Prepared;
+  choice_cache Prepared;
   uint64_t EstimatesIndex = 0;
   std::map<version_name, double> Allowances;
   retry_budget Retries;
--- a/entry/request_choice.cpp
+++ b/entry/request_choice.cpp
@@ -82,13 +82,13 @@
   return List;
 }
 
-std::optional<choice_answer> request_task::choose(bool MayCascade) {
-  choice_question Question{.Template = Facts.Template,
-                           .Account = Facts.Account,
-                           .QualityTarget = Facts.QualityTarget,
-                           .Policy = Facts.Policy,
-                           .Candidates = candidates(),
-                           .MayCascade = MayCascade};
+std::optional<chosen_arm> request_task::choose(bool MayCascade) {
+  choice_input Question{.Template = Facts.Template,
+                        .Account = Facts.Account,
+                        .QualityTarget = Facts.QualityTarget,
+                        .Policy = Facts.Policy,
+                        .Candidates = candidates(),
+                        .MayCascade = MayCascade};
   return chooseArm(Question, Context.Estimates, Context.Prepared,
                    Context.Random);
 }
--- a/entry/request_task.cpp
+++ b/entry/request_task.cpp
@@ -48,7 +48,7 @@
 }
 
 void request_task::begin() {
-  Context.Retries.requestSeen();
+  Context.Retries.recordRequest();
   if (!Facts.isChat())
     return run({});
   if (Facts.Session.empty())
@@ -179,7 +179,7 @@
 void request_task::onAccepted(const wire::accepted &Answer) {
   Accepted = true;
   Context.Pool.updateLoad(Upstream, Answer.running(), Answer.queued());
-  bool CanMove = !Answer.started() && !claimed() && MoveCount < MostMoves &&
+  bool CanMove = !Answer.started() && !claimed() && MoveCount < MaxMoves &&
                  !DeadlineCancelSent;
   if (!CanMove)
     return;
--- a/entry/request_task.h
+++ b/entry/request_task.h
@@ -40,7 +40,7 @@
   bill_outbox &Outbox;
   metrics &Metrics;
   estimates &Estimates;
-  prepared_choices &Prepared;
+  choice_cache &Prepared;
   /// Answers that versions in a roll-out may still give here.
   std::map<version_name, double> &Allowances;
   retry_budget &Retries;
@@ -125,7 +125,7 @@
   bool isStopped(const version_name &Name) const;
   upstream_need need(const version_name &Version) const;
   double priorCost(const version_spec &Spec) const;
-  std::optional<choice_answer> choose(bool MayCascade);
+  std::optional<chosen_arm> choose(bool MayCascade);
   bool chooseAnother();
   void chooseUnpinned();
   void choosePinned();
--- a/entry/upstream_pool.cpp
+++ b/entry/upstream_pool.cpp
@@ -48,8 +48,8 @@
       Groups[Version.text()].push_back(Replica);
   });
   std::set<std::string> Names;
-  subset_question Question{.EntryHash = checksum(Options.Node),
-                           .Entries = Entries};
+  subset_input Question{.EntryHash = checksum(Options.Node),
+                        .Entries = Entries};
   for (auto &[Group, Replicas] : Groups)
     for (std::string &Name : chooseSubset(std::move(Replicas), Question))
       Names.insert(std::move(Name));
@@ -157,10 +157,10 @@
           Member.Breaker.allows(Now));
 }
 
-replica_news upstream_pool::replicaState(const member &Member,
-                                         const upstream_spec &Spec,
-                                         uint64_t PrefixScore,
-                                         double Now) const {
+replica_state upstream_pool::replicaState(const member &Member,
+                                          const upstream_spec &Spec,
+                                          uint64_t PrefixScore,
+                                          double Now) const {
   return {.OwnInFlight = Member.OwnInFlight,
           .ReportedRunning = double(Member.Report.running()),
           .ReportedQueued = double(Member.Report.queued()),
@@ -182,7 +182,8 @@
   if (Other.empty())
     return {};
   const upstream_spec &Spec = *Config.upstream(Other);
-  bool Free = seemsFree(replicaState(Members[Other], Spec, 0, steadySeconds()));
+  bool Free =
+      hasFreeSlot(replicaState(Members[Other], Spec, 0, steadySeconds()));
   return Free ? Other : std::string();
 }
 
@@ -205,7 +206,7 @@
                                        std::mt19937_64 &Random) {
   double Now = steadySeconds();
   std::vector<const std::string *> Names;
-  std::vector<replica_news> Replicas;
+  std::vector<replica_state> Replicas;
   for (const auto &[Name, Member] : Members) {
     const upstream_spec *Spec = Config.upstream(Name);
     bool Usable = Spec && !Need.Excluded.contains(Name) &&
--- a/entry/upstream_pool.h
+++ b/entry/upstream_pool.h
@@ -106,8 +106,8 @@
   void onReport(const std::string &Name, const wire::news &Report);
   std::string chooseAmong(const upstream_need &Need, const catalog &Config,
                           breaker_policy Breakers, std::mt19937_64 &Random);
-  replica_news replicaState(const member &Member, const upstream_spec &Spec,
-                            uint64_t PrefixScore, double Now) const;
+  replica_state replicaState(const member &Member, const upstream_spec &Spec,
+                             uint64_t PrefixScore, double Now) const;
   static bool serves(const member &Member, const upstream_spec &Spec,
                      const upstream_need &Need);
   bool usable(const member &Member, const upstream_spec &Spec,
--- a/gateway/answering.cpp
+++ b/gateway/answering.cpp
@@ -64,7 +64,7 @@
   bool Good = AnswerHead.Status >= 200 && AnswerHead.Status < 300;
   AnswerIsEvents = streaming() && Good;
   if (AnswerIsEvents && Facts.Model)
-    State.PromptPace.firstToken(
+    State.PromptPace.recordFirstToken(
         Model.empty() ? Facts.Model->Model : Model,
         relativeCost(*Routing, *Route, Service, selectionAt(Now).ModelIndex),
         Facts.Model->PromptTokens, CachedTokens, Now - SentAt);
@@ -77,8 +77,8 @@
             .NotRun = AnswerFacts.NotRun};
   for (const head_line &Line : AnswerHead.Lines)
     if (!sameHeader(Line.Name, "Content-Length") &&
-        !platform::belongsToConnection(AnswerHead, Line.Name) &&
-        !(Answer.NotRun && platform::tellsWhenToComeBack(Line.Name)))
+        !platform::isHopByHop(AnswerHead, Line.Name) &&
+        !(Answer.NotRun && platform::isRetryAfter(Line.Name)))
       Answer.Lines.push_back(Line);
   if (AnswerIsEvents && shouldSwitchModel())
     switchToLargerModel();
@@ -93,10 +93,11 @@
             {{"upstream", Upstream->Listed.Id}, {"id", Facts.AttemptId}});
     Upstream->leave();
   }
-  if (!Hints.OddRest.empty())
+  if (!Hints.MalformedRetryAfter.empty())
     logLine(log_level::Warning,
             "upstream's Retry-After is not a number of seconds",
-            {{"upstream", Upstream->Listed.Id}, {"value", Hints.OddRest}});
+            {{"upstream", Upstream->Listed.Id},
+             {"value", Hints.MalformedRetryAfter}});
   if (!Hints.RestSeconds)
     return;
   Upstream->rest(*Hints.RestSeconds, Now);
@@ -221,7 +222,7 @@
              {"seconds_there", steadySeconds() - SentAt},
              {"others_there", int64_t(Upstream->InFlight) - 1}});
   if (Where == broken_at::Refused) {
-    Upstream->doubt(steadySeconds());
+    Upstream->presumeCrashed(steadySeconds());
     State.Crashes->ended(watchedUpstream(*Upstream), "connection refused");
     State.Peers->ended(*Upstream);
   } else if (Sent && Where != broken_at::Garbled) {
@@ -252,7 +253,7 @@
 // requests again, with jitter so that callers do not all retry at once.
 head_line forwarding::retryAfterLine() {
   double Soonest =
-      Route ? State.Upstreams.soonestRest(Service, steadySeconds()) : 0;
+      Route ? State.Upstreams.soonestBackoffEnd(Service, steadySeconds()) : 0;
   double Seconds =
       RetryAfterSeconds > 0 ? RetryAfterSeconds : DefaultRetryAfterSeconds;
   if (RetryAfterSeconds == 0 && Soonest > 0)
@@ -307,7 +308,7 @@
   Timer.stop();
   Fallback.reset();
   if (std::exchange(RetryTokenHeld, false))
-    State.Retries.at(Service).giveBack(steadySeconds());
+    State.Retries.at(Service).returnToken(steadySeconds());
   touchSession();
   // A caller with part of a response must see that it is incomplete.
   if (Status == 0 && Caller)
--- a/gateway/forwarding.cpp
+++ b/gateway/forwarding.cpp
@@ -97,7 +97,7 @@
                   .Body = Body});
   Service = pickService();
   State.Retries.try_emplace(Service, State.RetryBounds, State.Gateways)
-      .first->second.requestSeen(ArrivedAt);
+      .first->second.recordRequest(ArrivedAt);
   if (Facts.Model)
     State.ServicePaces[Service].asked(Route->TargetSeconds);
   if (choosesModel())
@@ -182,7 +182,7 @@
     Model = Route->Sizes[ModelIndex];
   LastUpstream = Upstream;
   if (Facts.Model)
-    recordPrompt(Request, Selected.PromptSeconds);
+    recordPrompt(Request, Selected.PrefillSeconds);
   State.Peers->changed(*Upstream);
   touchSession();
   send(Now);
@@ -208,7 +208,7 @@
     return conclude(LastFailure);
   if (!State.Upstreams.allEvacuated(Service))
     return conclude("no upstream");
-  RetryAfterSeconds = comeBackAfter(callerSecondsLeft(), State.Random);
+  RetryAfterSeconds = retryAfterSeconds(callerSecondsLeft(), State.Random);
   conclude("all data halls of this service are evacuated");
 }
 
@@ -267,8 +267,8 @@
 }
 
 double forwarding::refusalChanceAt(double Seconds) const {
-  return refusalChance(Seconds, State.ServicePaces[Service].shortestTarget(),
-                       priority());
+  return refusalProbability(
+      Seconds, State.ServicePaces[Service].shortestTargetSeconds(), priority());
 }
 
 // Decided once, before anything is sent: a request that has begun is not
@@ -280,7 +280,7 @@
   double Chance = refusalChanceAt(WaitSeconds);
   if (std::uniform_real_distribution<double>(0, 1)(State.Random) >= Chance)
     return true;
-  RetryAfterSeconds = comeBackAfter(callerSecondsLeft(), State.Random);
+  RetryAfterSeconds = retryAfterSeconds(callerSecondsLeft(), State.Random);
   return false;
 }
 
@@ -297,7 +297,7 @@
   Sent.Model = Model;
   Sent.LastEvent = Events.lastId();
   Sent.Priority = priority();
-  Sent.TellPriority = Facts.Model.has_value();
+  Sent.SendPriority = Facts.Model.has_value();
   SentAt = LastReceivedAt = Now;
   AnswerIsEvents = AnswerCounted = false;
   Events.restart();
@@ -401,7 +401,8 @@
 // has; that is no crash.
 void forwarding::recordInterruption() {
   if (!Upstream->leaving())
-    State.Crashes->brokeOff(watchedUpstream(*Upstream), Identity);
+    State.Crashes->recordInterruptedRequest(watchedUpstream(*Upstream),
+                                            Identity);
 }
 
 void forwarding::leaveUpstream() {
@@ -410,8 +411,8 @@
   if (Connection)
     Connection->drop();
   Connection = nullptr;
-  if (PromptSeconds != 0)
-    State.PromptMemory.unsure(Upstream->Place, uncachedBlocks());
+  if (PrefillSeconds != 0)
+    State.PromptMemory.removeBlocks(Upstream->Place, uncachedBlocks());
   releasePrompt();
   --Upstream->InFlight;
   State.Peers->changed(*Upstream);
--- a/gateway/forwarding.h
+++ b/gateway/forwarding.h
@@ -124,7 +124,7 @@
   void recordSilence();
   void leaveUpstream();
   void releasePrompt();
-  std::span<const prompt_piece> uncachedBlocks() const;
+  std::span<const prompt_block> uncachedBlocks() const;
   void forwardEvents(std::string_view Bytes);
   head_line retryAfterLine();
   void deliver();
@@ -183,9 +183,9 @@
   /// Chosen by this gateway; empty: the model that the caller named.
   std::string Model;
   /// Upstream seconds for the prefill of this prompt; 0 once it is done.
-  double PromptSeconds = 0;
+  double PrefillSeconds = 0;
   /// Blocks of the prompt, keyed for the model in use.
-  std::vector<prompt_piece> Blocks;
+  std::vector<prompt_block> Blocks;
   /// Prompt tokens expected to be cached at the upstream.
   uint32_t CachedTokens = 0;
   double ExpectedSeconds = 0; ///< From sending to the first token.
--- a/gateway/gateway_state.h
+++ b/gateway/gateway_state.h
@@ -52,15 +52,15 @@
   /// This gateway's shares of the retry bound, by service.
   std::map<std::string, retry_share> Retries;
   /// Utility per second of upstream time, by service.
-  std::map<std::string, earnings> Utilities;
+  std::map<std::string, utility_rate> Utilities;
   /// Upstream time of requests to the largest model, by service.
-  std::map<std::string, work_sizes> WorkSizes;
+  std::map<std::string, processing_time_stats> WorkSizes;
   /// Slot times and response time targets, by service.
-  std::map<std::string, service_pace> ServicePaces;
+  std::map<std::string, service_stats> ServicePaces;
   /// Prefill times, learned from the first tokens of responses.
-  prompt_pace PromptPace;
+  prefill_estimator PromptPace;
   /// Prompt blocks that each upstream is expected to have cached.
-  prompt_memory PromptMemory;
+  prefix_cache_model PromptMemory;
   std::mt19937_64 Random{1};
 };
 
--- a/gateway/gateway_task.cpp
+++ b/gateway/gateway_task.cpp
@@ -102,12 +102,12 @@
     auto Upstream = State.Upstreams.at(Ended.Place);
     if (!Upstream)
       return;
-    Upstream->doubt(steadySeconds());
+    Upstream->presumeCrashed(steadySeconds());
     Peers.ended(*Upstream);
   };
   Reports.OnReport = [this] { Peers.scheduleReport(); };
   Peers.OnSendReport = [this](wire::work_news &News) {
-    Reports.fillNew(*News.mutable_crashes());
+    Reports.fillRecent(*News.mutable_crashes());
   };
   Peers.OnReportReceived = [this](const wire::work_news &News) {
     Reports.hear(News.crashes());
@@ -125,7 +125,7 @@
       Entry->set_data_hall(Hall);
       Entry->set_open(Open);
     }
-    for (uint64_t Key : State.Pins.takeUntold())
+    for (uint64_t Key : State.Pins.takeUnreportedPins())
       Message.add_staying(Key);
     Reports.fill(*Message.mutable_crashes(), Message.sent_at());
   };
@@ -148,19 +148,19 @@
   };
   Watch.OnEvacuations = [this](const evacuated_halls &Halls) {
     for (const auto &Restored : State.Upstreams.setEvacuated(Halls.all()))
-      supposeCold(*Restored);
+      assumeCold(*Restored);
     for (const auto &[Hall, Open] : State.Upstreams.openInEvacuated())
       logLine(log_level::Info, "no new requests go to an evacuated data hall",
               {{"data_hall", Hall}, {"open_requests", int64_t(Open)}});
   };
   Watch.OnStaying = [this](uint64_t Key) {
-    State.Pins.heardStaying(Key, steadySeconds());
+    State.Pins.applyStablePin(Key, steadySeconds());
   };
   Watch.OnNewsAddresses = [this](const std::vector<std::string> &Addresses) {
     Peers.setGateways(Addresses);
   };
   Peers.OnPromptSent = [this](uint64_t Upstream,
-                              std::span<const prompt_piece> Blocks) {
+                              std::span<const prompt_block> Blocks) {
     if (State.Upstreams.has(Upstream))
       State.PromptMemory.sent(Upstream, Blocks);
   };
@@ -174,7 +174,7 @@
                             steadySeconds());
   };
   Peers.OnEnded = [this](uint64_t Key) {
-    bool PresumedCrashed = State.Upstreams.doubt(Key, steadySeconds());
+    bool PresumedCrashed = State.Upstreams.presumeCrashed(Key, steadySeconds());
     State.Metrics->count("told_ended",
                          PresumedCrashed ? "passed over" : "not heeded");
     if (auto Upstream = State.Upstreams.at(Key))
@@ -200,7 +200,7 @@
 void gateway_task::applyRouting(const std::shared_ptr<routing_table> &Routing) {
   Routing->eachService([this](const routed_service &Service) {
     if (Service.Engine)
-      State.PromptMemory.setRoom(Service.Engine->CacheTokens);
+      State.PromptMemory.setCapacity(Service.Engine->CacheTokens);
   });
   bool First = !State.Routing;
   State.Routing = Routing;
@@ -210,12 +210,12 @@
 }
 
 // The operator may have restarted the upstream during the evacuation.
-void gateway_task::supposeCold(upstream &Upstream) const {
+void gateway_task::assumeCold(upstream &Upstream) const {
   const routed_service *Service =
       State.Routing ? State.Routing->service(Upstream.Listed.Service) : nullptr;
   if (Service && Service->ColdStartSeconds > 0)
-    Upstream.supposeCold(Service->ColdStartSeconds + ListLagSeconds,
-                         steadySeconds());
+    Upstream.assumeCold(Service->ColdStartSeconds + ListLagSeconds,
+                        steadySeconds());
 }
 
 void gateway_task::setGatewayCount(uint32_t Gateways) {
--- a/gateway/gateway_task.h
+++ b/gateway/gateway_task.h
@@ -83,7 +83,7 @@
   void applyControlList(double Age, const wire::notice &Notice);
   void applyList(double ReadAt);
   void applyRouting(const std::shared_ptr<routing_table> &Routing);
-  void supposeCold(upstream &Upstream) const;
+  void assumeCold(upstream &Upstream) const;
   void setGatewayCount(uint32_t Gateways);
   uint32_t connectionsFor(const std::string &Service) const;
   void forgetIdle(upstream_connection &Connection);
--- a/gateway/model_switch.cpp
+++ b/gateway/model_switch.cpp
@@ -43,7 +43,7 @@
   selection_request Request = selectionAt(Now);
   Request.ModelIndex = Largest;
   request_estimate Estimate = estimateRequest(State, *Routing, Request);
-  work_sizes &LargestWork = State.WorkSizes[Service];
+  processing_time_stats &LargestWork = State.WorkSizes[Service];
   LargestWork.weighed(Estimate.UpstreamSeconds);
   auto Larger = largerModel(
       {.Models = Route->Sizes.size(),
@@ -52,10 +52,10 @@
        .Size = size(),
        .LargestCost = costPerThousandTokens(*Routing, *Route, Service, Largest),
        .LargestSeconds = Estimate.UpstreamSeconds,
-       .WorthOfSecond =
-           worthOfSecond(State.Utilities[Service].perSecond(),
-                         Estimate.BacklogSeconds, LargestWork.residual()),
-       .RefusedShare = refusalChanceAt(Estimate.WaitSeconds),
+       .OpportunityCostPerSecond = opportunityCostPerSecond(
+           State.Utilities[Service].perSecond(), Estimate.BacklogSeconds,
+           LargestWork.residualSeconds()),
+       .RefusalProbability = refusalChanceAt(Estimate.WaitSeconds),
        .InTime = Now + Estimate.FirstTokenSeconds <
                  ArrivedAt + Route->TargetSeconds});
   logLine(log_level::Debug, "larger model considered",
@@ -63,7 +63,7 @@
            {"confidence", Confidence},
            {"prompt_tokens", int64_t(Facts.Model->PromptTokens)},
            {"backlog_s", Estimate.BacklogSeconds},
-           {"work_s", LargestWork.residual()},
+           {"work_s", LargestWork.residualSeconds()},
            {"slot_wait_s", Estimate.WaitSeconds},
            {"upstream_s", Estimate.UpstreamSeconds},
            {"earned_per_s", State.Utilities[Service].perSecond()},
@@ -147,10 +147,10 @@
                               double WaitingSeconds) {
   prompt_work Work = promptWork(State, *Routing, Request);
   if (Attempts == 1)
-    State.Utilities[Service].earned(worthOf(size()), Work.TotalSeconds);
-  PromptSeconds = prefillSeconds(State, *Routing, Request, Work, *Upstream);
-  Upstream->PromptSeconds += PromptSeconds;
-  ExpectedSeconds = FirstTokenSeconds + WaitingSeconds + PromptSeconds;
+    State.Utilities[Service].earned(utilityOf(size()), Work.TotalSeconds);
+  PrefillSeconds = prefillSeconds(State, *Routing, Request, Work, *Upstream);
+  Upstream->PrefillSeconds += PrefillSeconds;
+  ExpectedSeconds = FirstTokenSeconds + WaitingSeconds + PrefillSeconds;
   Blocks = std::move(Work.Pieces);
   CachedTokens = State.PromptMemory.kept(Upstream->Place, Blocks);
   State.PromptMemory.sent(Upstream->Place, Blocks);
@@ -159,8 +159,8 @@
 
 // Blocks of the current attempt's prompt that the upstream was not expected to
 // have cached.
-std::span<const prompt_piece> forwarding::uncachedBlocks() const {
-  std::span<const prompt_piece> Rest = Blocks;
+std::span<const prompt_block> forwarding::uncachedBlocks() const {
+  std::span<const prompt_block> Rest = Blocks;
   for (uint32_t Tokens = 0; Tokens < CachedTokens; Rest = Rest.subspan(1))
     Tokens += Rest.front().Tokens;
   return Rest;
@@ -168,9 +168,9 @@
 
 // The upstream has done the prefill of the current attempt, or will not do it.
 void forwarding::releasePrompt() {
-  if (PromptSeconds == 0)
+  if (PrefillSeconds == 0)
     return;
-  Upstream->PromptSeconds -= std::exchange(PromptSeconds, 0);
+  Upstream->PrefillSeconds -= std::exchange(PrefillSeconds, 0);
   State.Peers->changed(*Upstream);
 }
 
--- a/gateway/peer_work.cpp
+++ b/gateway/peer_work.cpp
@@ -26,11 +26,11 @@
 
 } // namespace
 
-void work_of_others::change(gateway_report &Gateway, uint64_t Upstream,
-                            upstream_work Work) {
+void peer_work_totals::change(gateway_report &Gateway, uint64_t Upstream,
+                              upstream_work Work) {
   upstream_work &Last = Gateway.Work[Upstream];
   upstream_work &Sum = Sums[Upstream];
-  Sum.PromptSeconds += Work.PromptSeconds - Last.PromptSeconds;
+  Sum.PrefillSeconds += Work.PrefillSeconds - Last.PrefillSeconds;
   Sum.InFlight += Work.InFlight - Last.InFlight;
   Last = Work;
   if (Work.InFlight == 0)
@@ -39,12 +39,12 @@
     Sums.erase(Upstream);
 }
 
-void work_of_others::drop(gateway_report &Gateway) {
+void peer_work_totals::drop(gateway_report &Gateway) {
   while (!Gateway.Work.empty())
     change(Gateway, Gateway.Work.begin()->first, {});
 }
 
-void work_of_others::heard(const wire::work_news &Report, double Now) {
+void peer_work_totals::heard(const wire::work_news &Report, double Now) {
   gateway_report &Gateway = Gateways[Report.gateway()];
   if (Report.sequence() <= Gateway.Sequence)
     return;
@@ -54,12 +54,12 @@
     drop(Gateway);
   for (const wire::upstream_work &Work : Report.works())
     change(Gateway, Work.upstream(),
-           {.PromptSeconds =
+           {.PrefillSeconds =
                 Work.in_flight() == 0 ? 0 : Work.prompt_ms() / MsPerSecond,
             .InFlight = Work.in_flight()});
 }
 
-void work_of_others::forgetSilent(double Now) {
+void peer_work_totals::forgetSilent(double Now) {
   for (auto It = Gateways.begin(); It != Gateways.end();) {
     bool Silent = It->second.ReceivedAt + SilentSeconds < Now;
     if (Silent)
@@ -68,7 +68,7 @@
   }
 }
 
-upstream_work work_of_others::at(uint64_t Upstream) const {
+upstream_work peer_work_totals::at(uint64_t Upstream) const {
   auto It = Sums.find(Upstream);
   return It == Sums.end() ? upstream_work() : It->second;
 }
@@ -94,7 +94,7 @@
           {{"gateways", int64_t(Gateways.size())}});
 }
 
-warming_circle peer_work::circleOf(uint64_t Upstream) const {
+warmup_group peer_work::circleOf(uint64_t Upstream) const {
   if (Gateways.empty())
     return {};
   uint64_t Own = checksum(Socket.address(), Upstream);
@@ -148,13 +148,13 @@
 // The last block is the suffix, which no other prompt shares: its key is of no
 // use to other gateways, but it takes room in the cache.
 void peer_work::sent(const upstream &Upstream,
-                     std::span<const prompt_piece> Blocks) {
+                     std::span<const prompt_block> Blocks) {
   if (Gateways.empty() || Blocks.empty() ||
       Pending.prompts_size() >= MaxPromptsPerReport)
     return;
   wire::prompt_sent *Sent = Pending.add_prompts();
   Sent->set_upstream(Upstream.Place);
-  for (const prompt_piece &Block : Blocks.first(Blocks.size() - 1)) {
+  for (const prompt_block &Block : Blocks.first(Blocks.size() - 1)) {
     Sent->add_keys(Block.Key);
     Sent->add_tokens(Block.Tokens);
   }
@@ -186,7 +186,7 @@
       continue;
     wire::upstream_work *Work = Report.add_works();
     Work->set_upstream(Upstream->Place);
-    Work->set_prompt_ms(uint32_t(Upstream->PromptSeconds * MsPerSecond));
+    Work->set_prompt_ms(uint32_t(Upstream->PrefillSeconds * MsPerSecond));
     Work->set_in_flight(Upstream->InFlight);
     if (HasLoad)
       Work->set_told_load(Load->second + 1);
@@ -228,7 +228,7 @@
   }
   if (!OnPromptSent)
     return;
-  std::vector<prompt_piece> Blocks;
+  std::vector<prompt_block> Blocks;
   for (const wire::prompt_sent &Sent : Report.prompts()) {
     Blocks.clear();
     int Count = std::min(Sent.keys_size(), Sent.tokens_size());
--- a/gateway/peer_work.h
+++ b/gateway/peer_work.h
@@ -25,7 +25,7 @@
 
 /// Sums of the work that the other gateways last reported. Does no I/O; times
 /// are passed in.
-class work_of_others {
+class peer_work_totals {
 public:
   /// Applies a gateway's report; an outdated one is ignored.
   void heard(const wire::work_news &Report, double Now);
@@ -73,7 +73,7 @@
   /// are ignored.
   void setGateways(const std::vector<std::string> &Addresses);
   /// Reports that a prompt was sent to an upstream.
-  void sent(const upstream &Upstream, std::span<const prompt_piece> Blocks);
+  void sent(const upstream &Upstream, std::span<const prompt_block> Blocks);
   /// Reports that this gateway's work at an upstream has changed.
   void changed(const upstream &Upstream);
   /// Reports a load that an upstream has reported: requests that run or wait
@@ -90,13 +90,13 @@
   upstream_work at(uint64_t Upstream) const { return Others.at(Upstream); }
   /// True if all gateways report to this one, so that the sum of their work is
   /// complete. \p AllGateways: number of gateways, 0: unknown.
-  bool hearsAll(uint32_t AllGateways) const {
+  bool receivesFromAll(uint32_t AllGateways) const {
     return AllGateways > 0 && Gateways.size() + 1 >= AllGateways;
   }
   /// The gateways that may send requests to an upstream while it is cold, and
   /// the rank of this one. The order differs by upstream and is the same at all
   /// gateways.
-  warming_circle circleOf(uint64_t Upstream) const;
+  warmup_group circleOf(uint64_t Upstream) const;
   /// Called when an upstream has reported its load to another gateway.
   std::function<void(uint64_t Upstream, uint32_t Load)> OnLoad;
   /// Called when an upstream has responded to another gateway.
@@ -109,7 +109,7 @@
   /// Called for each report that is received.
   std::function<void(const wire::work_news &)> OnReportReceived;
   /// Called when another gateway has sent a prompt to an upstream.
-  std::function<void(uint64_t Upstream, std::span<const prompt_piece>)>
+  std::function<void(uint64_t Upstream, std::span<const prompt_block>)>
       OnPromptSent;
 
 private:
@@ -129,7 +129,7 @@
     uint32_t Failures = 0;
   };
   std::unordered_map<uint64_t, answers> PendingAnswers; ///< By upstream.
-  work_of_others Others;
+  peer_work_totals Others;
   datagram_socket Socket;
   timer Timer;
   uint64_t Sequence = 0;
--- a/gateway/selection.cpp
+++ b/gateway/selection.cpp
@@ -16,16 +16,16 @@
 
 // A description of blocks larger than the prompt is ignored: an absurdly large
 // block would evict all that an upstream is assumed to have cached.
-std::vector<prompt_piece> blocksOf(const platform::model_request &Request,
+std::vector<prompt_block> blocksOf(const platform::model_request &Request,
                                    std::string_view Model) {
-  std::vector<prompt_piece> Blocks;
+  std::vector<prompt_block> Blocks;
   uint64_t Sum = 0;
-  for (const platform::prompt_part &Part : Request.Parts)
+  for (const platform::prefix_block &Part : Request.Parts)
     Sum += Part.Tokens;
   if (Sum > Request.PromptTokens || Request.Parts.size() > MaxPromptBlocks)
     return Blocks;
   uint64_t Key = checksum(Model);
-  for (const platform::prompt_part &Part : Request.Parts) {
+  for (const platform::prefix_block &Part : Request.Parts) {
     Key = checksum({reinterpret_cast<const char *>(&Part.Id), sizeof(Part.Id)},
                    Key);
     Blocks.push_back({.Key = Key, .Tokens = Part.Tokens});
@@ -61,17 +61,17 @@
                          const selection_request &Request,
                          const session_pin *Pin) {
   const std::string &Service = Request.Service;
-  const std::string &Stable = State.Upstreams.settledVersion(Service);
+  const std::string &Stable = State.Upstreams.stableVersion(Service);
   uint64_t SessionHash = sessionHash(Service, Request.Facts);
   std::string Pinned = Pin ? Pin->Version : std::string();
   if (!Pin && State.Pins.stays(SessionHash, Request.Now))
     Pinned = Stable;
   const std::string &Version =
       State.Versions.versionFor(Service, Stable, Pinned, SessionHash);
-  std::string_view Reverted = State.Versions.barred(Service);
+  std::string_view Reverted = State.Versions.revertedVersion(Service);
   candidates Found;
   for (const auto &Each : State.Upstreams.ofService(Service)) {
-    if (!Each->takesNew(Request.Now) || Each->Listed.Version == Reverted)
+    if (!Each->acceptsRequests(Request.Now) || Each->Listed.Version == Reverted)
       continue;
     bool Preferred = Each->Listed.Version == Version;
     double Wait = coldWait(State, Routing, *Each, Request.Now);
@@ -93,8 +93,9 @@
 answer_counts
 totalAnswers(const std::vector<std::shared_ptr<upstream>> &Upstreams,
              double Now) {
-  bool Any = std::any_of(Upstreams.begin(), Upstreams.end(),
-                         [](const auto &U) { return U->Answers.mayFail(); });
+  bool Any = std::any_of(Upstreams.begin(), Upstreams.end(), [](const auto &U) {
+    return U->Answers.hasEnoughFailures();
+  });
   answer_counts Sum;
   if (!Any)
     return Sum;
@@ -110,11 +111,11 @@
 /// upstreams, including its own.
 bool failsMoreThanOthers(const answer_counts &All, const upstream &Upstream,
                          double Now) {
-  if (!Upstream.Answers.mayFail())
+  if (!Upstream.Answers.hasEnoughFailures())
     return false;
   answer_counts Own = Upstream.Answers.at(Now);
-  return failsMore(Own, {.Answers = All.Answers - Own.Answers,
-                         .Failures = All.Failures - Own.Failures});
+  return hasExcessFailures(Own, {.Answers = All.Answers - Own.Answers,
+                                 .Failures = All.Failures - Own.Failures});
 }
 
 std::vector<upstream_view>
@@ -124,7 +125,7 @@
   bool NotRepeatable = !Request.Route.repeatable();
   std::vector<upstream_view> Views;
   Views.reserve(Upstreams.size());
-  bool ReceivesAll = State.Peers->hearsAll(State.Gateways);
+  bool ReceivesAll = State.Peers->receivesFromAll(State.Gateways);
   answer_counts All = totalAnswers(Upstreams, Now);
   for (const auto &Each : Upstreams) {
     upstream_work Others = State.Peers->at(Each->Place);
@@ -133,13 +134,13 @@
          .Load = Each->load(Now, Others.InFlight),
          .Seen = ReceivesAll ? Each->load(Now, Others.InFlight)
                              : double(Each->InFlight + Others.InFlight),
-         .LoadKnown = ReceivesAll || Each->loadKnown(Now),
+         .LoadKnown = ReceivesAll || Each->hasFreshLoad(Now),
          .Slots = double(Each->Listed.Slots),
          .SameHall = Each->Listed.DataHall == State.DataHall,
          .Suspect = failsMoreThanOthers(All, *Each, Now) ||
                     Each->suspect(Now) ||
-                    (NotRepeatable && Each->unproven(Now)),
-         .PromptSeconds = Each->PromptSeconds + Others.PromptSeconds});
+                    (NotRepeatable && Each->unrecovered(Now)),
+         .PrefillSeconds = Each->PrefillSeconds + Others.PrefillSeconds});
   }
   return Views;
 }
@@ -149,12 +150,12 @@
                std::vector<std::shared_ptr<upstream>> Upstreams,
                const prompt_work &Work) {
   std::vector<upstream_view> Views = viewsOf(State, Request, Upstreams);
-  supposeUnseen(Views);
+  estimateUnobservedLoad(Views);
   selection Selected;
   if (Request.Facts.Model) {
-    Selected.WaitSeconds =
-        waitForSlot(Views, State.ServicePaces[Request.Service].slotSeconds());
-    Selected.BacklogSeconds = meanPromptSeconds(Views);
+    Selected.WaitSeconds = expectedSlotWait(
+        Views, State.ServicePaces[Request.Service].meanSlotSeconds());
+    Selected.BacklogSeconds = meanPrefillSeconds(Views);
   }
   for (size_t I = 0; I < Views.size(); ++I)
     if (Request.Facts.Model)
@@ -166,11 +167,11 @@
       Upstreams.erase(Upstreams.begin() + ptrdiff_t(I));
     }
   auto Chosen = Request.Facts.Model
-                    ? chooseSoonest(Views, Work.Prompt, State.Random)
+                    ? chooseEarliestFirstToken(Views, Work.Prompt, State.Random)
                     : chooseLeastLoaded(Views, State.Random);
   if (Chosen) {
     Selected.Upstream = Upstreams[*Chosen];
-    Selected.PromptSeconds = Views[*Chosen].PromptSeconds;
+    Selected.PrefillSeconds = Views[*Chosen].PrefillSeconds;
   }
   return Selected;
 }
@@ -221,27 +222,28 @@
   double Cost =
       relativeCost(Routing, Request.Route, Request.Service, Request.ModelIndex);
   auto SecondsFor = [&](uint32_t Tokens) {
-    return State.PromptPace.secondsFor(Name, Cost, Tokens);
+    return State.PromptPace.estimateSeconds(Name, Cost, Tokens);
   };
   double Seconds = SecondsFor(Model.PromptTokens);
-  std::vector<prompt_piece> Blocks = blocksOf(Model, Name);
+  std::vector<prompt_block> Blocks = blocksOf(Model, Name);
   // The last block is the suffix, which no other prompt shares.
   uint32_t SharedTokens = 0;
   for (size_t I = 0; I + 1 < Blocks.size(); ++I)
     SharedTokens += Blocks[I].Tokens;
-  uint64_t SharedKey = Blocks.size() > 1 ? Blocks[Blocks.size() - 2].Key : 0;
+  uint64_t SharedPrefixKey =
+      Blocks.size() > 1 ? Blocks[Blocks.size() - 2].Key : 0;
   return {.Prompt = {.Seconds = Seconds,
-                     .SharedSeconds = SecondsFor(SharedTokens),
-                     .SharedKey = SharedKey},
+                     .SharedPrefillSeconds = SecondsFor(SharedTokens),
+                     .SharedPrefixKey = SharedPrefixKey},
           .Pieces = std::move(Blocks),
-          .TotalSeconds = Seconds + SecondsFor(ReadTokensPerMade *
+          .TotalSeconds = Seconds + SecondsFor(InputTokensPerOutputToken *
                                                expectedOutputTokens(Model))};
 }
 
 double prefillSeconds(const gateway_state &State, const routing_table &Routing,
                       const selection_request &Request, const prompt_work &Work,
                       const upstream &Upstream) {
-  return State.PromptPace.secondsFor(
+  return State.PromptPace.estimateSeconds(
       std::string(modelAt(Request.Route, Request.Facts, Request.ModelIndex)),
       relativeCost(Routing, Request.Route, Request.Service, Request.ModelIndex),
       Request.Facts.Model->PromptTokens,
@@ -249,8 +251,8 @@
 }
 
 uint32_t expectedOutputTokens(const platform::model_request &Model) {
-  return std::max(
-      1U, Model.LikelyOutputTokens.value_or(Model.MostOutputTokens / 2));
+  return std::max(1U,
+                  Model.OutputTokensHint.value_or(Model.MaxOutputTokens / 2));
 }
 
 request_estimate estimateRequest(gateway_state &State,
@@ -269,7 +271,7 @@
                             .WaitSeconds = Selected.WaitSeconds};
   if (Upstream)
     Estimate.FirstTokenSeconds =
-        FirstTokenSeconds + Selected.PromptSeconds + Read;
+        FirstTokenSeconds + Selected.PrefillSeconds + Read;
   return Estimate;
 }
 
@@ -279,17 +281,17 @@
   const routed_service *Service = Routing.service(Upstream.Listed.Service);
   if (!Service || Service->ColdRequestsPerSecond <= 0)
     return std::nullopt;
-  if (Now < State.StartedAt + ForgottenSeconds)
+  if (Now < State.StartedAt + RestartDelaySeconds)
     return 0;
   // Gateways that receive reports only from their own data hall send to the
   // cold upstreams of that data hall only.
-  bool MaySend = State.Peers->hearsAll(State.Gateways) ||
+  bool MaySend = State.Peers->receivesFromAll(State.Gateways) ||
                  Upstream.Listed.DataHall == State.DataHall;
-  warming_circle Circle;
+  warmup_group Circle;
   if (MaySend && State.Gateways > 0)
-    Circle = State.Gateways == 1 ? warming_circle{.Gateways = 1}
+    Circle = State.Gateways == 1 ? warmup_group{.Gateways = 1}
                                  : State.Peers->circleOf(Upstream.Place);
-  return warmingShare(Service->ColdRequestsPerSecond, State.ColdBounds, Circle);
+  return warmupRate(Service->ColdRequestsPerSecond, State.ColdBounds, Circle);
 }
 
 selection select(gateway_state &State, const routing_table &Routing,
--- a/gateway/selection.h
+++ b/gateway/selection.h
@@ -34,7 +34,7 @@
   prompt_view Prompt;
   /// Prompt blocks in prompt order, keyed for this model; empty if the caller
   /// described none that can be used.
-  std::vector<prompt_piece> Pieces;
+  std::vector<prompt_block> Pieces;
   double TotalSeconds = 0; ///< Upstream time for prefill and output, seconds.
 };
 
@@ -80,7 +80,7 @@
 struct selection {
   /// Null: no upstream may take the request now.
   std::shared_ptr<upstream> Upstream;
-  double PromptSeconds = 0; ///< Upstream seconds of prefill work queued there.
+  double PrefillSeconds = 0; ///< Upstream seconds of prefill work queued there.
   /// Expected seconds until a slot is free at one of the less loaded upstreams.
   double WaitSeconds = 0;
   double BacklogSeconds = 0; ///< Mean prefill work per upstream, seconds.
--- a/gateway/session_pins.h
+++ b/gateway/session_pins.h
@@ -43,7 +43,7 @@
       Unreported.push_back(Key);
   }
   /// The same, on the report of another gateway.
-  void heardStaying(uint64_t Key, double Now) {
+  void applyStablePin(uint64_t Key, double Now) {
     StableSessions.insert_or_assign(Key, Now);
   }
   /// True if the session with this hash is pinned to the stable version.
@@ -52,7 +52,9 @@
     return It != StableSessions.end() && Now < It->second + Lifetime;
   }
   /// Returns the hashes that were not reported yet, once each.
-  std::vector<uint64_t> takeUntold() { return std::exchange(Unreported, {}); }
+  std::vector<uint64_t> takeUnreportedPins() {
+    return std::exchange(Unreported, {});
+  }
   /// Drops expired pins.
   void forgetOld(double Now) {
     std::erase_if(StableSessions, [&](const auto &Each) {
--- a/gateway/software_versions.cpp
+++ b/gateway/software_versions.cpp
@@ -58,7 +58,8 @@
   return InProgress ? It->second.target_version() : None;
 }
 
-std::string_view software_versions::barred(const std::string &Service) const {
+std::string_view
+software_versions::revertedVersion(const std::string &Service) const {
   auto It = Rollouts.find(Service);
   bool Reverted = It != Rollouts.end() && It->second.stage() == wire::REVERTED;
   return Reverted ? std::string_view(It->second.target_version())
--- a/gateway/software_versions.h
+++ b/gateway/software_versions.h
@@ -37,7 +37,7 @@
   /// The version being rolled out to \p Service, or "".
   const std::string &target(const std::string &Service) const;
   /// A reverted version, which must get no requests, or "".
-  std::string_view barred(const std::string &Service) const;
+  std::string_view revertedVersion(const std::string &Service) const;
 
   /// Counts a response that took \p Seconds.
   void count(const std::string &Service, const std::string &Version,
--- a/gateway/spare_answer.cpp
+++ b/gateway/spare_answer.cpp
@@ -60,7 +60,8 @@
 void fallback_response::onBroken(broken_at Where) {
   Parts.Connection = nullptr;
   if (Where != broken_at::Garbled && !Parts.Upstream->leaving())
-    State.Crashes->brokeOff(watchedUpstream(*Parts.Upstream), Parts.Request);
+    State.Crashes->recordInterruptedRequest(watchedUpstream(*Parts.Upstream),
+                                            Parts.Request);
   release();
 }
 
--- a/gateway/upstream_connection.cpp
+++ b/gateway/upstream_connection.cpp
@@ -67,7 +67,7 @@
 // while the connection was set up is not sent this one.
 void upstream_connection::onConnected() {
   ConnectTimer.stop();
-  if (User && !Upstream->takesNew(steadySeconds()))
+  if (User && !Upstream->acceptsRequests(steadySeconds()))
     fail(broken_at::Declined);
 }
 
--- a/gateway/upstream_copy.cpp
+++ b/gateway/upstream_copy.cpp
@@ -15,7 +15,7 @@
 }
 
 bool upstream_copy::take(const wire::upstream_list &Update) {
-  auto Entries = platform::entriesOf(Update);
+  auto Entries = platform::decodeUpstreams(Update);
   bool Applicable = Update.whole() || Update.since() == Revision;
   if (!Entries || !Applicable)
     return false;
--- a/gateway/upstream_table.cpp
+++ b/gateway/upstream_table.cpp
@@ -36,14 +36,15 @@
 
 } // namespace
 
-bool upstream::loadKnown(double Now) const {
+bool upstream::hasFreshLoad(double Now) const {
   return ReportedAt > 0 && Now <= ReportedAt + LoadLifetimeSeconds;
 }
 
 double upstream::load(double Now, uint32_t Others) const {
   double Known = double(InFlight) + Others;
-  return loadKnown(Now) ? std::max(Known, ReportedLoad + Known - KnownAtReport)
-                        : Known;
+  return hasFreshLoad(Now)
+             ? std::max(Known, ReportedLoad + Known - KnownAtReport)
+             : Known;
 }
 
 void upstream::heardLoad(uint32_t Load, double Now, uint32_t Others) {
@@ -60,7 +61,7 @@
   ++ConsecutiveFailures;
 }
 
-void upstream::doubt(double Now) {
+void upstream::presumeCrashed(double Now) {
   PresumedCrashedUntil = Now + PresumedCrashSeconds;
 }
 
@@ -74,7 +75,7 @@
   return IsListed || Now < AssumedColdUntil;
 }
 
-void upstream::supposeCold(double Seconds, double Now) {
+void upstream::assumeCold(double Seconds, double Now) {
   AssumedColdUntil =
       std::max(AssumedColdUntil, Now + std::min(Seconds, MaxColdSeconds));
 }
@@ -159,7 +160,7 @@
   return It == ByKey.end() ? nullptr : It->second;
 }
 
-bool upstream_table::doubt(uint64_t Key, double Now) {
+bool upstream_table::presumeCrashed(uint64_t Key, double Now) {
   auto Upstream = at(Key);
   if (!Upstream)
     return false;
@@ -170,7 +171,7 @@
       });
   if (double(Presumed + 1) > MaxPresumedFraction * double(Service.size()))
     return false;
-  Upstream->doubt(Now);
+  Upstream->presumeCrashed(Now);
   return true;
 }
 
@@ -204,11 +205,11 @@
   return Open;
 }
 
-double upstream_table::soonestRest(const std::string &Service,
-                                   double Now) const {
+double upstream_table::soonestBackoffEnd(const std::string &Service,
+                                         double Now) const {
   double Soonest = 0;
   for (const auto &Each : ofService(Service)) {
-    if (Each->takesNew(Now))
+    if (Each->acceptsRequests(Now))
       return 0;
     double Seconds = Each->backoffUntil() - Now;
     if (Each->acceptsAfterBackoff() && (Soonest == 0 || Seconds < Soonest))
@@ -235,7 +236,7 @@
 }
 
 const std::string &
-upstream_table::settledVersion(const std::string &Service) const {
+upstream_table::stableVersion(const std::string &Service) const {
   static const std::string None;
   auto It = StableVersions.find(Service);
   return It == StableVersions.end() ? None : It->second;
--- a/gateway/upstream_table.h
+++ b/gateway/upstream_table.h
@@ -28,7 +28,7 @@
 /// Requests that one or more gateways have at an upstream.
 struct upstream_work {
   /// Upstream time for prompts whose prefill is not done.
-  double PromptSeconds = 0;
+  double PrefillSeconds = 0;
   uint32_t InFlight = 0;
 };
 
@@ -44,7 +44,7 @@
   /// Requests of this gateway in flight.
   uint32_t InFlight = 0;
   /// Upstream time for own prompts whose prefill is not done.
-  double PromptSeconds = 0;
+  double PrefillSeconds = 0;
   /// Open connections of this gateway.
   uint32_t Connections = 0;
   /// Idle keep-alive connections, the last used one at the end.
@@ -52,7 +52,7 @@
   /// To all gateways that report to this one, and to itself.
   answer_tally Answers;
   /// Spaces this gateway's requests while the upstream is cold.
-  warming_pace Warming;
+  warmup_pacer Warming;
 
   /// Estimated number of requests that run or wait at the upstream: the load
   /// that it last reported, corrected by what this gateway and those that
@@ -60,7 +60,7 @@
   /// reporting gateways have in flight there now.
   double load(double Now, uint32_t Others = 0) const;
   /// The last reported load is recent enough to estimate the present one.
-  bool loadKnown(double Now) const;
+  bool hasFreshLoad(double Now) const;
   /// Failed recently, or presumed crashed: selected only if no other is left.
   bool suspect(double Now) const {
     return Now < SuspectUntil || presumedCrashed(Now);
@@ -69,9 +69,9 @@
   /// reported it.
   bool presumedCrashed(double Now) const { return Now < PresumedCrashedUntil; }
   /// Presumes the upstream crashed until the list should show whether it is.
-  void doubt(double Now);
+  void presumeCrashed(double Now);
   /// Failed in the last seconds and has not responded since.
-  bool unproven(double Now) const {
+  bool unrecovered(double Now) const {
     return ConsecutiveFailures > 0 && Now < UnrecoveredUntil;
   }
   /// Records a reported load. \p Load: requests that ran or waited at the
@@ -92,7 +92,7 @@
   /// Stops soon, as planned, and takes no new requests.
   bool leaving() const { return AnnouncedLeaving || Listed.Leaving; }
   /// May be sent new requests now.
-  bool takesNew(double Now) const {
+  bool acceptsRequests(double Now) const {
     return acceptsAfterBackoff() && Now >= BackoffUntil;
   }
   /// Just started and able to take few requests: listed as cold, or assumed to
@@ -100,7 +100,7 @@
   bool cold(double Now) const;
   /// Assumes the upstream cold for \p Seconds from \p Now, up to a limit, for
   /// the time until the list can show it.
-  void supposeCold(double Seconds, double Now);
+  void assumeCold(double Seconds, double Now);
   /// May be sent requests now or after its backoff.
   bool acceptsAfterBackoff() const { return !Gone && !leaving() && !Evacuated; }
 
@@ -149,7 +149,7 @@
   /// list shows it. Returns false and changes nothing if it is not listed, or
   /// if too many upstreams of its service are presumed crashed already; then
   /// each gateway detects crashes on its own.
-  bool doubt(uint64_t Key, double Now);
+  bool presumeCrashed(uint64_t Key, double Now);
   /// Evacuates these data halls and no others. Returns the upstreams that were
   /// evacuated and no longer are.
   std::vector<std::shared_ptr<upstream>>
@@ -160,11 +160,11 @@
   std::map<std::string, uint32_t> openInEvacuated() const;
   /// Seconds until the first upstream in backoff takes requests again; 0: one
   /// takes them now, or none ever will.
-  double soonestRest(const std::string &Service, double Now) const;
+  double soonestBackoffEnd(const std::string &Service, double Now) const;
   /// The stable software version of the service: the one that most of its
   /// upstreams had when the service was first listed, or the one set since;
   /// empty if the service was never listed.
-  const std::string &settledVersion(const std::string &Service) const;
+  const std::string &stableVersion(const std::string &Service) const;
   /// Makes \p Version the stable one.
   void setStableVersion(const std::string &Service,
                         const std::string &Version) {
--- a/lease/control_client.h
+++ b/lease/control_client.h
@@ -86,7 +86,7 @@
   void switchToLeader(uint64_t Leader);
 
   control_client_options Options;
-  node_copy Copy;
+  config_replica Copy;
   std::vector<std::unique_ptr<client_link>> Links;
   size_t LeaderIndex = 0; ///< In Links, of the VM assumed to be the leader.
   double LastGrant = 0;
--- a/lease/routing_fetch.cpp
+++ b/lease/routing_fetch.cpp
@@ -32,8 +32,8 @@
                      ? std::min(RetrySeconds * RetryGrowth, MaxRetrySeconds)
                      : MinRetrySeconds;
   // Pieces from two control VMs cannot be combined.
-  if (Copy.comingVersion() == 0 || (Repeated && RequestedFrom != Source)) {
-    Copy.dropComing();
+  if (Copy.pendingVersion() == 0 || (Repeated && RequestedFrom != Source)) {
+    Copy.dropPending();
     RequestedFrom = Source;
   }
   std::uniform_real_distribution<double> Jitter(1, 1 + MaxRetryJitter);
@@ -41,7 +41,7 @@
   InFlight = true;
   routing_request Request{.To = RequestedFrom};
   Request.Ask.set_held_version(NeedsFullRouting ? 0 : Copy.version());
-  Request.Ask.set_version(Copy.comingVersion());
+  Request.Ask.set_version(Copy.pendingVersion());
   Request.Ask.set_piece(Copy.nextPiece());
   return Request;
 }
--- a/lease/routing_fetch.h
+++ b/lease/routing_fetch.h
@@ -38,10 +38,10 @@
   /// not fit the pieces before it.
   piece_result take(const std::string &From, const wire::routing_piece &Piece);
 
-  const routing_copy &copy() const { return Copy; }
+  const routing_replica &copy() const { return Copy; }
 
 private:
-  routing_copy Copy;
+  routing_replica Copy;
   std::mt19937_64 Random;
   /// Address of the control VM that last reported NewestVersion.
   std::string Source;
--- a/ledger/evacuations.h
+++ b/ledger/evacuations.h
@@ -16,10 +16,10 @@
 
 namespace olivevalve {
 
-class evacuation_book {
+class evacuation_store {
 public:
   /// Bounds the number of evacuated data halls.
-  static constexpr size_t MostHalls = 256;
+  static constexpr size_t MaxHalls = 256;
 
   /// Evacuates or restores one data hall at \p WallSeconds, in seconds since
   /// the epoch. Does nothing if the data hall is in that state already.
--- a/ledger/quarantine.cpp
+++ b/ledger/quarantine.cpp
@@ -5,8 +5,8 @@
 
 namespace olivevalve {
 
-bool quarantine_book::apply(const wire::quarantine_change &Change,
-                            double WallSeconds) {
+bool quarantine_store::apply(const wire::quarantine_change &Change,
+                             double WallSeconds) {
   bool Changed = false;
   if (Change.has_add()) {
     wire::quarantined_request Request = Change.add();
@@ -19,7 +19,7 @@
   return Changed;
 }
 
-bool quarantine_book::add(wire::quarantined_request Request) {
+bool quarantine_store::add(wire::quarantined_request Request) {
   if (contains(digestOf(Request.request())))
     return false;
   Requests.push_back(std::move(Request));
@@ -28,25 +28,25 @@
   return true;
 }
 
-bool quarantine_book::release(const short_digest &Request) {
+bool quarantine_store::release(const short_digest &Request) {
   return std::erase_if(Requests, [&](const auto &Each) {
            return digestOf(Each.request()) == Request;
          }) > 0;
 }
 
-bool quarantine_book::contains(const short_digest &Request) const {
+bool quarantine_store::contains(const short_digest &Request) const {
   return std::any_of(Requests.begin(), Requests.end(), [&](const auto &Each) {
     return digestOf(Each.request()) == Request;
   });
 }
 
-void quarantine_book::save(wire::state_image &Image) const {
+void quarantine_store::save(wire::state_image &Image) const {
   Image.set_quarantine_revision(Revision);
   for (const wire::quarantined_request &Each : Requests)
     *Image.add_quarantined() = Each;
 }
 
-void quarantine_book::load(const wire::state_image &Image) {
+void quarantine_store::load(const wire::state_image &Image) {
   Revision = Image.quarantine_revision();
   Requests = {Image.quarantined().begin(), Image.quarantined().end()};
 }
--- a/ledger/quarantine.h
+++ b/ledger/quarantine.h
@@ -14,7 +14,7 @@
 
 namespace olivevalve {
 
-class quarantine_book {
+class quarantine_store {
 public:
   /// Bounds the list; adding one more releases the oldest.
   static constexpr size_t MostRequests = 256;
--- a/ledger/ratings.cpp
+++ b/ledger/ratings.cpp
@@ -47,9 +47,9 @@
 // The score that a version has to reach: for a rolling version that of the best
 // active version of its model, for any other its own estimate, each less the
 // tolerance.
-double rating_book::referenceScore(const std::string &Template,
-                                   const version_name &Name,
-                                   const catalog &Catalog) const {
+double rating_store::referenceScore(const std::string &Template,
+                                    const version_name &Name,
+                                    const catalog &Catalog) const {
   const model_spec *Model = Catalog.model(Name.Model);
   const version_spec *Self = Catalog.version(Name);
   if (!Model || !Self)
@@ -68,7 +68,7 @@
   return Best.value_or(DefaultReferenceScore) - Guard.Tolerance;
 }
 
-void rating_book::add(const wire::rating &Rating, const catalog &Catalog) {
+void rating_store::add(const wire::rating &Rating, const catalog &Catalog) {
   ++Count;
   version_name Name{Rating.model(), Rating.version()};
   if (!Rating.arm().empty()) {
@@ -93,8 +93,8 @@
 
 // A rating changes three cells: that of its template and account, that of its
 // template, and that of its arm.
-void rating_book::addEstimate(const estimate_key &Key, double Score,
-                              double Cost) {
+void rating_store::addEstimate(const estimate_key &Key, double Score,
+                               double Cost) {
   Estimates.add(Key, Score, Cost);
   for (const estimate_key &Each : {Key, estimate_key{Key.Template, "", Key.Arm},
                                    estimate_key{"", "", Key.Arm}}) {
@@ -104,29 +104,29 @@
   }
 }
 
-void rating_book::fillNews(uint64_t HeldIndex, size_t MaxCells,
-                           wire::estimate_table &Table) const {
+void rating_store::fillNews(uint64_t HeldIndex, size_t MaxCells,
+                            wire::estimate_table &Table) const {
   // A node with a higher index got it from another control group; it is sent
   // all cells.
   Published.fill(HeldIndex > Count ? 0 : HeldIndex, MaxCells, Estimates, Count,
                  Table);
 }
 
-void rating_book::addExposure(const wire::exposure &Exposure) {
+void rating_store::addExposure(const wire::exposure &Exposure) {
   Versions[{Exposure.model(), Exposure.version()}].Answers +=
       double(Exposure.answers());
 }
 
-void rating_book::reset(const version_name &Name) { Versions.erase(Name); }
+void rating_store::reset(const version_name &Name) { Versions.erase(Name); }
 
 // Evidence against a version, without the scopes that are stopped already and,
 // if given, without \p Scope. The same ratings are split once by template and
 // once by account. A stopped template is left out of the first split only, its
 // ratings still count in the second, and vice versa; so the lower result is
 // used.
-double rating_book::evidenceExcluding(const version_spec &Spec,
-                                      const version_record &Record,
-                                      const guard_scope *Scope) {
+double rating_store::evidenceExcluding(const version_spec &Spec,
+                                       const version_record &Record,
+                                       const guard_scope *Scope) {
   using scope_kind = guard_scope::scope_kind;
   auto Combined = [&](const scope_tests &Tests, scope_kind Kind,
                       const std::vector<std::string> &Stopped) {
@@ -149,9 +149,9 @@
 // True if a version passes without the traffic of \p Scope. For a version that
 // is not rolling this is assumed: over its many ratings the combined evidence
 // no longer tells how good it is at present.
-bool rating_book::passesExcluding(const version_spec &Spec,
-                                  const version_record &Record,
-                                  const guard_scope &Scope) {
+bool rating_store::passesExcluding(const version_spec &Spec,
+                                   const version_record &Record,
+                                   const guard_scope &Scope) {
   if (Spec.State != version_state::Rolling)
     return true;
   const scope_tests &Tests = Scope.Kind == guard_scope::scope_kind::Template
@@ -159,15 +159,15 @@
                                  : Record.ByAccount;
   uint64_t RemainingRatings =
       Record.Overall.ratings() - Tests.find(Scope.Name)->second.ratings();
-  return RemainingRatings >= Guard.RestRatings &&
+  return RemainingRatings >= Guard.MinOtherRatings &&
          evidenceExcluding(Spec, Record, &Scope) < 1;
 }
 
 // The template or account with the highest evidence among those without which a
 // rolling version passes.
 std::optional<guard_scope>
-rating_book::onlyFailingScope(const version_spec &Spec,
-                              const version_record &Record) {
+rating_store::onlyFailingScope(const version_spec &Spec,
+                               const version_record &Record) {
   using scope_kind = guard_scope::scope_kind;
   std::optional<guard_scope> Worst;
   double WorstEvidence = 1;
@@ -189,9 +189,9 @@
 // Every additional test raises the probability of a false stop. The thresholds
 // of the tests by template and by account are therefore multiplied by the
 // number of such tests.
-guard_report rating_book::evaluateVersion(const version_name &Name,
-                                          const version_spec &Spec,
-                                          const version_record &Record) {
+guard_report rating_store::evaluateVersion(const version_name &Name,
+                                           const version_spec &Spec,
+                                           const version_record &Record) {
   using scope_kind = guard_scope::scope_kind;
   bool Rolling = Spec.State == version_state::Rolling;
   guard_report Report{.Name = Name};
@@ -252,7 +252,7 @@
   return Report;
 }
 
-std::vector<guard_report> rating_book::judge(const catalog &Catalog) const {
+std::vector<guard_report> rating_store::judge(const catalog &Catalog) const {
   static const version_record None;
   double Answers = 0;
   double Ratings = 0;
@@ -294,7 +294,7 @@
                   {Cell.ratings(), Cell.scores(), Cell.costs()});
 }
 
-void rating_book::save(wire::state_image &Image) const {
+void rating_store::save(wire::state_image &Image) const {
   saveCells(Estimates, *Image.mutable_ratings());
   for (const auto &[Name, Record] : Versions) {
     wire::version_image *Out = Image.add_versions();
@@ -312,7 +312,7 @@
   Image.set_rating_count(Count);
 }
 
-void rating_book::load(const wire::state_image &Image) {
+void rating_store::load(const wire::state_image &Image) {
   Versions.clear();
   Count = Image.rating_count();
   Estimates.clear();
--- a/ledger/ratings.h
+++ b/ledger/ratings.h
@@ -44,7 +44,7 @@
 };
 
 /// Ratings of all versions, as estimates and as tests of the guard.
-class rating_book {
+class rating_store {
 public:
   void add(const wire::rating &Rating, const catalog &Catalog);
   /// Adds to the number of answers that a version has given.
--- a/ledger/rollouts.cpp
+++ b/ledger/rollouts.cpp
@@ -14,16 +14,16 @@
 
 } // namespace
 
-absl::Status rollout_book::begin(const wire::rollout &Order,
-                                 double WallSeconds) {
+absl::Status rollout_store::begin(const wire::rollout &Order,
+                                  double WallSeconds) {
   auto It = Rollouts.find(Order.service());
   if (It != Rollouts.end()) {
     const wire::rollout &Existing = It->second;
-    bool Resend = isUnderWay(Existing.stage()) ||
+    bool Resend = isInProgress(Existing.stage()) ||
                   WallSeconds < Existing.begun_wall() + ResendWindowSeconds;
     if (Existing.target_version() == Order.target_version() && Resend)
       return absl::OkStatus();
-    if (isUnderWay(Existing.stage()))
+    if (isInProgress(Existing.stage()))
       return makeError(error_kind::Conflict,
                        "a roll-out to " + Existing.target_version() +
                            " is in progress; wait until it has ended");
@@ -36,7 +36,7 @@
   return absl::OkStatus();
 }
 
-void rollout_book::step(const wire::rollout_step &Step) {
+void rollout_store::step(const wire::rollout_step &Step) {
   auto It = Rollouts.find(Step.service());
   if (It == Rollouts.end() ||
       It->second.target_version() != Step.target_version() ||
@@ -47,18 +47,18 @@
   ++Revision;
 }
 
-const wire::rollout *rollout_book::find(std::string_view Service) const {
+const wire::rollout *rollout_store::find(std::string_view Service) const {
   auto It = Rollouts.find(Service);
   return It == Rollouts.end() ? nullptr : &It->second;
 }
 
-void rollout_book::save(wire::state_image &Image) const {
+void rollout_store::save(wire::state_image &Image) const {
   Image.set_rollouts_revision(Revision);
   for (const auto &[Service, Rollout] : Rollouts)
     *Image.add_rollouts() = Rollout;
 }
 
-void rollout_book::load(const wire::state_image &Image) {
+void rollout_store::load(const wire::state_image &Image) {
   Revision = Image.rollouts_revision();
   for (const wire::rollout &Rollout : Image.rollouts())
     Rollouts[Rollout.service()] = Rollout;
--- a/ledger/rollouts.h
+++ b/ledger/rollouts.h
@@ -17,12 +17,12 @@
 namespace olivevalve {
 
 /// True until a roll-out has completed or was reverted.
-constexpr bool isUnderWay(wire::rollout_stage Stage) {
+constexpr bool isInProgress(wire::rollout_stage Stage) {
   return Stage == wire::CANARY || Stage == wire::SHIFT;
 }
 
 /// The newest roll-out of each service.
-class rollout_book {
+class rollout_store {
 public:
   /// Starts a roll-out at \p WallSeconds, in seconds since the epoch. A resent
   /// order changes nothing. Conflict: a roll-out of the service to another
--- a/ledger/routing_book.cpp
+++ b/ledger/routing_book.cpp
@@ -1,4 +1,5 @@
-//===- routing_book.cpp - The replicated routing document -----------------===//
+//===- routing_store.cpp - The replicated routing document
+//-----------------===//
 
 #include "ledger/routing_book.h"
 #include "base/digest.h"
@@ -14,7 +15,7 @@
 
 } // namespace
 
-absl::Status routing_book::apply(const wire::routing_change &Change) {
+absl::Status routing_store::apply(const wire::routing_change &Change) {
   // A version that is not higher is a resend, or was overtaken by a concurrent
   // change.
   if (Change.version() <= Current.version())
@@ -35,8 +36,10 @@
   return absl::OkStatus();
 }
 
-wire::routing_change makeChange(uint64_t BaseVersion, const std::string &Base,
-                                uint64_t Version, const std::string &Document) {
+wire::routing_change makeRoutingChange(uint64_t BaseVersion,
+                                       const std::string &Base,
+                                       uint64_t Version,
+                                       const std::string &Document) {
   wire::routing_change Full;
   Full.set_version(Version);
   Full.set_document(Document);
--- a/ledger/routing_book.h
+++ b/ledger/routing_book.h
@@ -1,4 +1,5 @@
-//===- routing_book.h - The replicated routing document ---------*- C++ -*-===//
+//===- routing_store.h - The replicated routing document ---------*- C++
+//-*-===//
 //
 // Holds the routing document with the highest version, as the operator sent it.
 // In control's log a new document may be stored as a patch of the previous one.
@@ -16,7 +17,7 @@
 namespace olivevalve {
 
 /// The current routing document.
-class routing_book {
+class routing_store {
 public:
   /// 0: there is no document yet.
   uint64_t version() const { return Current.version(); }
@@ -39,8 +40,10 @@
 /// The log command that sets \p Document as \p Version. It holds a patch of
 /// \p Base if \p BaseVersion is not 0 and the patch is shorter than the
 /// document.
-wire::routing_change makeChange(uint64_t BaseVersion, const std::string &Base,
-                                uint64_t Version, const std::string &Document);
+wire::routing_change makeRoutingChange(uint64_t BaseVersion,
+                                       const std::string &Base,
+                                       uint64_t Version,
+                                       const std::string &Document);
 
 } // namespace olivevalve
 
--- a/ledger/state_machine.h
+++ b/ledger/state_machine.h
@@ -46,13 +46,13 @@
   uint64_t appliedIndex() const { return AppliedIndex; }
   const catalog &config() const { return Catalog; }
   const bill_ledger &bills() const { return Bills; }
-  const rating_book &ratings() const { return Ratings; }
+  const rating_store &ratings() const { return Ratings; }
   const claim_table &claims() const { return Claims; }
   const pin_table &pins() const { return Pins; }
-  const routing_book &routing() const { return Routing; }
-  const rollout_book &rollouts() const { return Rollouts; }
-  const quarantine_book &quarantine() const { return Quarantine; }
-  const evacuation_book &evacuations() const { return Evacuations; }
+  const routing_store &routing() const { return Routing; }
+  const rollout_store &rollouts() const { return Rollouts; }
+  const quarantine_store &quarantine() const { return Quarantine; }
+  const evacuation_store &evacuations() const { return Evacuations; }
 
   /// The whole state as a serialised wire::state_image, for a snapshot.
   std::string image() const;
@@ -81,11 +81,11 @@
   claim_table Claims;
   pin_table Pins;
   bill_ledger Bills;
-  rating_book Ratings;
-  routing_book Routing;
-  rollout_book Rollouts;
-  quarantine_book Quarantine;
-  evacuation_book Evacuations;
+  rating_store Ratings;
+  routing_store Routing;
+  rollout_store Rollouts;
+  quarantine_store Quarantine;
+  evacuation_store Evacuations;
   std::map<std::string, change_record> Changes; ///< By change id.
   std::deque<std::string> ChangeOrder;          ///< Change ids, oldest first.
   /// Sequence number of the last batch of ratings, by reporter; batches that
--- a/policy/admission.cpp
+++ b/policy/admission.cpp
@@ -30,12 +30,12 @@
 
 } // namespace
 
-void service_pace::asked(double TargetSeconds) {
+void service_stats::asked(double TargetSeconds) {
   if (ShortestTarget == 0 || TargetSeconds < ShortestTarget)
     ShortestTarget = TargetSeconds;
 }
 
-void service_pace::ended(double Seconds) {
+void service_stats::ended(double Seconds) {
   SlotSeconds += (SlotSeconds == 0 ? 1 : SlotTimeWeight) *
                  (std::max(0.0, Seconds) - SlotSeconds);
 }
@@ -45,8 +45,8 @@
 // least accurate load, and all gateways send there. The mean would be too
 // pessimistic, because long queues at some upstreams say nothing about the
 // others.
-double waitForSlot(const std::vector<upstream_view> &Upstreams,
-                   double SlotSeconds) {
+double expectedSlotWait(const std::vector<upstream_view> &Upstreams,
+                        double SlotSeconds) {
   std::vector<double> Waits;
   Waits.reserve(Upstreams.size());
   for (const upstream_view &Each : Upstreams) {
@@ -66,8 +66,8 @@
 // A probability instead of a fixed limit: many gateways have the same slightly
 // old estimate of the wait, and with a limit all of them would alternate
 // between refusing and accepting all requests.
-double refusalChance(double WaitSeconds, double TargetSeconds,
-                     uint32_t Priority) {
+double refusalProbability(double WaitSeconds, double TargetSeconds,
+                          uint32_t Priority) {
   if (TargetSeconds <= 0)
     return 0;
   double Allowance =
@@ -81,7 +81,7 @@
 // The value is large, because a traffic spike lasts longer than the requests
 // queued in it and most callers retry only once. It is randomized, so that
 // callers do not retry at the same moment.
-double comeBackAfter(double LeftSeconds, std::mt19937_64 &Random) {
+double retryAfterSeconds(double LeftSeconds, std::mt19937_64 &Random) {
   double Max = std::max(0.0, LeftSeconds) * MaxRetryAfterShare;
   double Min = Max * MinRetryAfterShare;
   return std::uniform_real_distribution<double>(Min, Max)(Random);
--- a/policy/admission.h
+++ b/policy/admission.h
@@ -17,17 +17,17 @@
 namespace olivevalve {
 
 /// What a gateway has observed of a service's requests.
-class service_pace {
+class service_stats {
 public:
   /// Records a request to a route with this target latency.
   void asked(double TargetSeconds);
   /// Records a finished response that occupied its slot for \p Seconds.
   void ended(double Seconds);
   /// The mean time that a response occupies its slot; 0 before the first one.
-  double slotSeconds() const { return SlotSeconds; }
+  double meanSlotSeconds() const { return SlotSeconds; }
   /// The shortest target latency of the routes that had requests, in seconds; 0
   /// before the first request.
-  double shortestTarget() const { return ShortestTarget; }
+  double shortestTargetSeconds() const { return ShortestTarget; }
 
 private:
   double SlotSeconds = 0;
@@ -37,19 +37,19 @@
 /// Expected seconds until one more request gets a slot at one of the less
 /// loaded upstreams. \p SlotSeconds: the mean time that a response occupies its
 /// slot.
-double waitForSlot(const std::vector<upstream_view> &Upstreams,
-                   double SlotSeconds);
+double expectedSlotWait(const std::vector<upstream_view> &Upstreams,
+                        double SlotSeconds);
 
 /// The probability with which a request should be refused, 0 to 1.
 /// \p WaitSeconds: the expected wait for a slot.
 /// \p TargetSeconds: the shortest target latency of the service; 0 if none is
 /// known, and then nothing is refused. \p Priority: 0 is the most urgent.
-double refusalChance(double WaitSeconds, double TargetSeconds,
-                     uint32_t Priority);
+double refusalProbability(double WaitSeconds, double TargetSeconds,
+                          uint32_t Priority);
 
 /// The Retry-After for a refused request, in seconds, randomized.
 /// \p LeftSeconds: time left until the caller's deadline.
-double comeBackAfter(double LeftSeconds, std::mt19937_64 &Random);
+double retryAfterSeconds(double LeftSeconds, std::mt19937_64 &Random);
 
 } // namespace olivevalve
 
--- a/policy/answer_tally.cpp
+++ b/policy/answer_tally.cpp
@@ -29,7 +29,9 @@
           .Failures = Counts.Failures * Weight};
 }
 
-bool answer_tally::mayFail() const { return Counts.Failures >= MinFailures; }
+bool answer_tally::hasEnoughFailures() const {
+  return Counts.Failures >= MinFailures;
+}
 
 void answer_tally::add(uint32_t Answers, uint32_t Failures, double Now) {
   Counts = at(Now);
@@ -38,7 +40,7 @@
   Counts.Failures += std::min(Failures, Answers);
 }
 
-bool failsMore(const answer_counts &One, const answer_counts &Others) {
+bool hasExcessFailures(const answer_counts &One, const answer_counts &Others) {
   if (One.Failures < MinFailures)
     return false;
   double Rate = One.Failures / One.Answers;
--- a/policy/answer_tally.h
+++ b/policy/answer_tally.h
@@ -30,7 +30,7 @@
   answer_counts at(double Now) const;
   /// False if the upstream has too few failures to count as failing more than
   /// the others, whatever the counts of the others are.
-  bool mayFail() const;
+  bool hasEnoughFailures() const;
 
 private:
   answer_counts Counts; ///< As of CountedAt.
@@ -40,7 +40,7 @@
 /// True if the failure rate of \p One is so much higher than that of \p Others,
 /// the other upstreams of its service, that it should get only occasional
 /// requests, which show whether it still fails.
-bool failsMore(const answer_counts &One, const answer_counts &Others);
+bool hasExcessFailures(const answer_counts &One, const answer_counts &Others);
 
 } // namespace olivevalve
 
--- a/policy/crash_evidence.cpp
+++ b/policy/crash_evidence.cpp
@@ -55,7 +55,7 @@
   }
   record &Record = It->second;
   if (Record.Upstreams.contains(Report.Upstream) ||
-      Record.Upstreams.size() >= EndsToConvict)
+      Record.Upstreams.size() >= CrashesToQuarantine)
     return false;
   Order.erase(orderOf(Report.Request, Record));
   Record.Upstreams.insert(Report.Upstream);
@@ -88,17 +88,19 @@
   return It->second.Upstreams;
 }
 
-bool crash_evidence::convicted(const short_digest &Request, double Now) const {
+bool crash_evidence::shouldQuarantine(const short_digest &Request,
+                                      double Now) const {
   auto It = Records.find(Request);
   return It != Records.end() && isCurrent(It->second, Now) &&
-         It->second.Upstreams.size() >= EndsToConvict;
+         It->second.Upstreams.size() >= CrashesToQuarantine;
 }
 
-std::vector<short_digest> crash_evidence::allConvicted(double Now) const {
+std::vector<short_digest>
+crash_evidence::requestsToQuarantine(double Now) const {
   std::vector<short_digest> Requests;
   for (auto It = Order.rbegin();
-       It != Order.rend() && std::get<size_t>(*It) >= EndsToConvict; ++It)
-    if (convicted(std::get<short_digest>(*It), Now))
+       It != Order.rend() && std::get<size_t>(*It) >= CrashesToQuarantine; ++It)
+    if (shouldQuarantine(std::get<short_digest>(*It), Now))
       Requests.push_back(std::get<short_digest>(*It));
   return Requests;
 }
--- a/policy/crash_evidence.h
+++ b/policy/crash_evidence.h
@@ -61,7 +61,7 @@
 public:
   /// The number of upstreams that must have crashed for a request to be
   /// quarantined: too many for a coincidence.
-  static constexpr size_t EndsToConvict = 3;
+  static constexpr size_t CrashesToQuarantine = 3;
 
   explicit crash_evidence(crash_evidence_options Options = {});
 
@@ -71,18 +71,18 @@
   /// Records a complete response to the request and clears the evidence against
   /// it. Returns true if there was any.
   bool answered(const short_digest &Request, double Now);
-  bool answeredLately(const short_digest &Request, double Now) const {
+  bool answeredRecently(const short_digest &Request, double Now) const {
     return Answered.contains(Request, Now);
   }
   /// Removes all evidence against the request.
   void forget(const short_digest &Request);
   /// True if the evidence suffices to quarantine the request.
-  bool convicted(const short_digest &Request, double Now) const;
+  bool shouldQuarantine(const short_digest &Request, double Now) const;
   /// The incarnations of the upstreams that crashed while processing the
   /// request.
   std::set<uint64_t> endsUnder(const short_digest &Request, double Now) const;
   /// All requests whose evidence suffices to quarantine them, latest first.
-  std::vector<short_digest> allConvicted(double Now) const;
+  std::vector<short_digest> requestsToQuarantine(double Now) const;
   /// The number of requests with evidence, including expired evidence.
   size_t size() const { return Records.size(); }
 
--- a/policy/guard.h
+++ b/policy/guard.h
@@ -66,7 +66,7 @@
   double SettleEvidence = 0.3;
   /// A version is stopped for only one template or account if the other ratings
   /// are good and there are at least this many of them.
-  uint64_t RestRatings = 10;
+  uint64_t MinOtherRatings = 10;
 };
 
 enum class guard_verdict : uint8_t { Go, Stop, Settle };
--- a/policy/limits.cpp
+++ b/policy/limits.cpp
@@ -28,7 +28,7 @@
   return true;
 }
 
-void retry_budget::requestSeen() {
+void retry_budget::recordRequest() {
   Tokens = std::min(Bounds.MaxTokens, Tokens + Bounds.Ratio);
 }
 
--- a/policy/limits.h
+++ b/policy/limits.h
@@ -37,7 +37,7 @@
   explicit retry_budget(retry_bounds Bounds = {})
       : Bounds(Bounds), Tokens(Bounds.MaxTokens / 2) {}
   /// Records a request, which adds to the budget.
-  void requestSeen();
+  void recordRequest();
   /// Takes one retry from the budget; false if there is none.
   bool take();
 
--- a/policy/model_choice.cpp
+++ b/policy/model_choice.cpp
@@ -40,25 +40,25 @@
 // one, so asking it first pays if it is good enough for one request in ten.
 size_t firstModel(size_t) { return 0; }
 
-double poorChance(double Confidence) {
+double poorAnswerProbability(double Confidence) {
   return std::clamp((GoodConfidence - Confidence) /
                         (GoodConfidence - PoorConfidence),
                     0.0, 1.0);
 }
 
-double worthOf(const request_size &Size) {
-  double Tokens =
-      double(Size.ReadTokens) + double(ReadTokensPerMade) * Size.MadeTokens;
+double utilityOf(const request_size &Size) {
+  double Tokens = double(Size.ReadTokens) +
+                  double(InputTokensPerOutputToken) * Size.MadeTokens;
   return UtilityPerThousandTokens * std::pow(PriorityFactor, Size.Priority) *
          Tokens / Thousand;
 }
 
-void earnings::earned(double NewUtility, double NewSeconds) {
+void utility_rate::earned(double NewUtility, double NewSeconds) {
   Utility = UtilityDecay * Utility + NewUtility;
   Seconds = UtilityDecay * Seconds + NewSeconds;
 }
 
-void work_sizes::weighed(double Seconds) {
+void processing_time_stats::weighed(double Seconds) {
   Sum = TimeDecay * Sum + Seconds;
   Squares = TimeDecay * Squares + Seconds * Seconds;
 }
@@ -66,8 +66,8 @@
 // The work delays requests that are already waiting. A short backlog costs
 // hardly anything, because answers still begin in time. With a long one, the
 // utility that the upstream would have achieved in the meantime is lost.
-double worthOfSecond(double UtilityPerSecond, double BacklogSeconds,
-                     double ResidualSeconds) {
+double opportunityCostPerSecond(double UtilityPerSecond, double BacklogSeconds,
+                                double ResidualSeconds) {
   double Saturation =
       BacklogSeconds / (SaturatedBacklog * std::max(ResidualSeconds, 1e-3));
   return UtilityPerSecond * std::min(1.0, Saturation * Saturation);
@@ -75,10 +75,10 @@
 
 // Returns the largest model, never one in the middle: most requests that are
 // too hard for the smallest model are too hard for those as well.
-std::optional<size_t> largerModel(const model_answer &Input) {
+std::optional<size_t> largerModel(const larger_model_input &Input) {
   if (Input.Place + 1 >= Input.Models)
     return std::nullopt;
-  double Gain = poorChance(Input.Confidence) * worthOf(Input.Size);
+  double Gain = poorAnswerProbability(Input.Confidence) * utilityOf(Input.Size);
   if (!Input.InTime)
     Gain *= LateUtilityFactor;
   double Cost =
@@ -87,8 +87,9 @@
       Thousand;
   // The request takes one more slot, for want of which another request like it
   // may be refused.
-  double RefusalLoss = Input.RefusedShare * worthOf(Input.Size);
-  if (Gain <= Cost + Input.LargestSeconds * Input.WorthOfSecond + RefusalLoss)
+  double RefusalLoss = Input.RefusalProbability * utilityOf(Input.Size);
+  if (Gain <= Cost + Input.LargestSeconds * Input.OpportunityCostPerSecond +
+                  RefusalLoss)
     return std::nullopt;
   return Input.Models - 1;
 }
--- a/policy/model_choice.h
+++ b/policy/model_choice.h
@@ -25,7 +25,7 @@
 
 /// The input of largerModel(): what is known once a model has begun to answer.
 /// Models are numbered in the order of the route's list, smallest first.
-struct model_answer {
+struct larger_model_input {
   size_t Models = 1;     ///< Number of models in the list.
   size_t Place = 0;      ///< Index of the model that answers.
   double Confidence = 1; ///< Reported by that model, 0 to 1.
@@ -35,9 +35,9 @@
   /// Upstream time for this request with the largest model, in seconds.
   double LargestSeconds = 0;
   /// Utility that other requests lose for each second of upstream time.
-  double WorthOfSecond = 0;
+  double OpportunityCostPerSecond = 0;
   /// Probability that a new request is refused now for want of a slot, 0 to 1.
-  double RefusedShare = 0;
+  double RefusalProbability = 0;
   /// The largest model is expected to send its first token within the route's
   /// target latency.
   bool InTime = true;
@@ -45,7 +45,7 @@
 
 /// Average utility per second of upstream time of a service's requests, from
 /// their first attempts. Old requests are discounted exponentially.
-class earnings {
+class utility_rate {
 public:
   /// Adds a request of utility \p NewUtility that takes \p NewSeconds of
   /// upstream time.
@@ -62,11 +62,11 @@
 size_t firstModel(size_t Models);
 
 /// The utility of a good answer, in the unit of the models' costs.
-double worthOf(const request_size &Size);
+double utilityOf(const request_size &Size);
 
 /// Statistics of the time that an upstream spends on a request to the largest
 /// model. Old requests are discounted exponentially.
-class work_sizes {
+class processing_time_stats {
 public:
   /// Adds a request considered for the largest model, which would take
   /// \p Seconds of upstream time.
@@ -74,7 +74,7 @@
   /// The mean residual time of the request in progress when another one
   /// arrives, in seconds: E[S^2] / E[S], so a few long requests count for more
   /// than many short ones. 0 before any request.
-  double residual() const { return Sum > 0 ? Squares / Sum : 0; }
+  double residualSeconds() const { return Sum > 0 ? Squares / Sum : 0; }
 
 private:
   double Sum = 0;
@@ -86,15 +86,15 @@
 /// \p BacklogSeconds is the mean prefill backlog of an upstream.
 /// \p ResidualSeconds is the mean residual time of a request to the largest
 /// model, by which the backlog is judged to be short or long.
-double worthOfSecond(double UtilityPerSecond, double BacklogSeconds,
-                     double ResidualSeconds);
+double opportunityCostPerSecond(double UtilityPerSecond, double BacklogSeconds,
+                                double ResidualSeconds);
 
 /// The probability that an answer with this confidence is poor, 0 to 1.
-double poorChance(double Confidence);
+double poorAnswerProbability(double Confidence);
 
 /// The index of the larger model to ask instead; none if the answer is good
 /// enough or the larger model has more utility for other requests.
-std::optional<size_t> largerModel(const model_answer &Input);
+std::optional<size_t> largerModel(const larger_model_input &Input);
 
 } // namespace olivevalve
 
--- a/policy/placement.cpp
+++ b/policy/placement.cpp
@@ -25,7 +25,7 @@
 /// The input, with counts derived from it.
 class planner {
 public:
-  explicit planner(const placement_question &Input);
+  explicit planner(const placement_input &Input);
   std::optional<placement_step> next() const;
 
 private:
@@ -47,7 +47,7 @@
                                          double MaxDemandPerCopy) const;
   placement_step add(size_t Index, const version_name &Name) const;
 
-  const placement_question &Input;
+  const placement_input &Input;
   /// Copies assigned to usable replicas, for each version that takes new work.
   std::map<version_name, size_t> Copies;
   /// Copies assigned to usable replicas and loaded, for each assigned version.
@@ -56,7 +56,7 @@
   size_t Loading = 0;
 };
 
-planner::planner(const placement_question &Input) : Input(Input) {
+planner::planner(const placement_input &Input) : Input(Input) {
   for (const placed_version &Version : Input.Versions)
     Copies[Version.Name] = 0;
   for (const placed_replica &Replica : Input.Replicas) {
@@ -76,7 +76,7 @@
 std::optional<placement_step> planner::next() const {
   if (auto Step = removeInactive())
     return Step;
-  if (Loading >= Input.LoadsAtOnce)
+  if (Loading >= Input.MaxConcurrentLoads)
     return std::nullopt;
   if (auto Step = addMissingCopy())
     return Step;
@@ -226,7 +226,7 @@
 
 } // namespace
 
-std::optional<placement_step> nextPlacement(const placement_question &Input) {
+std::optional<placement_step> nextPlacement(const placement_input &Input) {
   return planner(Input).next();
 }
 
--- a/policy/placement.h
+++ b/policy/placement.h
@@ -40,11 +40,11 @@
 };
 
 /// The input of nextPlacement().
-struct placement_question {
+struct placement_input {
   std::vector<placed_replica> Replicas;
   std::vector<placed_version> Versions;
   /// The number of concurrent loads that the weight store supports.
-  size_t LoadsAtOnce = 2;
+  size_t MaxConcurrentLoads = 2;
 };
 
 /// A replica and the versions that it is to hold from now on.
@@ -55,7 +55,7 @@
 
 /// Returns none if nothing is to be changed, or if a load is needed while the
 /// weight store is busy.
-std::optional<placement_step> nextPlacement(const placement_question &Input);
+std::optional<placement_step> nextPlacement(const placement_input &Input);
 
 } // namespace olivevalve
 
--- a/policy/prompt_memory.cpp
+++ b/policy/prompt_memory.cpp
@@ -1,4 +1,5 @@
-//===- prompt_memory.cpp - What upstreams have cached ---------------------===//
+//===- prefix_cache_model.cpp - What upstreams have cached
+//---------------------===//
 
 #include "policy/prompt_memory.h"
 #include <iterator>
@@ -13,14 +14,14 @@
 
 } // namespace
 
-void prompt_memory::erase(block_cache &Cache,
-                          std::list<prompt_piece>::iterator Block) {
+void prefix_cache_model::erase(block_cache &Cache,
+                               std::list<prompt_block>::iterator Block) {
   Cache.Tokens -= Block->Tokens;
   Cache.ByKey.erase(Block->Key);
   Cache.Blocks.erase(Block);
 }
 
-void prompt_memory::touch(block_cache &Cache, prompt_piece Block) {
+void prefix_cache_model::touch(block_cache &Cache, prompt_block Block) {
   auto It = Cache.ByKey.find(Block.Key);
   if (It != Cache.ByKey.end()) {
     Cache.Blocks.splice(Cache.Blocks.begin(), Cache.Blocks, It->second);
@@ -33,8 +34,8 @@
 
 // Touches the last block first, so that a block is never evicted before the
 // blocks that follow it in the prompt, which are useless without it.
-void prompt_memory::sent(uint64_t Upstream,
-                         std::span<const prompt_piece> Blocks) {
+void prefix_cache_model::sent(uint64_t Upstream,
+                              std::span<const prompt_block> Blocks) {
   block_cache &Cache = Caches[Upstream];
   for (size_t I = Blocks.size(); I-- > 0;)
     touch(Cache, Blocks[I]);
@@ -43,25 +44,25 @@
     erase(Cache, std::prev(Cache.Blocks.end()));
 }
 
-void prompt_memory::unsure(uint64_t Upstream,
-                           std::span<const prompt_piece> Blocks) {
+void prefix_cache_model::removeBlocks(uint64_t Upstream,
+                                      std::span<const prompt_block> Blocks) {
   auto It = Caches.find(Upstream);
   if (It == Caches.end())
     return;
-  for (const prompt_piece &Block : Blocks) {
+  for (const prompt_block &Block : Blocks) {
     auto Cached = It->second.ByKey.find(Block.Key);
     if (Cached != It->second.ByKey.end())
       erase(It->second, Cached->second);
   }
 }
 
-uint32_t prompt_memory::kept(uint64_t Upstream,
-                             std::span<const prompt_piece> Blocks) const {
+uint32_t prefix_cache_model::kept(uint64_t Upstream,
+                                  std::span<const prompt_block> Blocks) const {
   auto It = Caches.find(Upstream);
   if (It == Caches.end())
     return 0;
   uint32_t Tokens = 0;
-  for (const prompt_piece &Block : Blocks) {
+  for (const prompt_block &Block : Blocks) {
     if (!It->second.ByKey.contains(Block.Key))
       break;
     Tokens += Block.Tokens;
--- a/policy/prompt_memory.h
+++ b/policy/prompt_memory.h
@@ -1,4 +1,5 @@
-//===- prompt_memory.h - What upstreams have cached -------------*- C++ -*-===//
+//===- prefix_cache_model.h - What upstreams have cached -------------*- C++
+//-*-===//
 //
 // Estimates which prompt prefixes each upstream has in its KV cache, so that a
 // prompt can go where the least of it needs prefill. An upstream does not
@@ -19,26 +20,26 @@
 
 /// A block of a prompt. An upstream can reuse a cached block only for the same
 /// model and after the same preceding blocks.
-struct prompt_piece {
+struct prompt_block {
   /// Hash of the model, all preceding blocks and this one.
   uint64_t Key = 0;
   uint32_t Tokens = 0; ///< Of this block alone.
 };
 
 /// A least-recently-used list of prompt blocks for each upstream.
-class prompt_memory {
+class prefix_cache_model {
 public:
   /// Sets the size of an upstream's KV cache in \p Tokens, the same for all
   /// upstreams.
-  void setRoom(uint64_t Tokens) { CapacityTokens = Tokens; }
+  void setCapacity(uint64_t Tokens) { CapacityTokens = Tokens; }
   /// Records that the upstream was sent a prompt of these blocks, in the order
   /// of the prompt. Evicts other blocks if the cache is full.
-  void sent(uint64_t Upstream, std::span<const prompt_piece> Blocks);
+  void sent(uint64_t Upstream, std::span<const prompt_block> Blocks);
   /// Removes blocks that the upstream may not have processed, because the
   /// request was taken back or failed before its first token.
-  void unsure(uint64_t Upstream, std::span<const prompt_piece> Blocks);
+  void removeBlocks(uint64_t Upstream, std::span<const prompt_block> Blocks);
   /// The number of tokens in the longest cached prefix of the prompt.
-  uint32_t kept(uint64_t Upstream, std::span<const prompt_piece> Blocks) const;
+  uint32_t kept(uint64_t Upstream, std::span<const prompt_block> Blocks) const;
   /// Removes an upstream that has terminated.
   void forget(uint64_t Upstream) { Caches.erase(Upstream); }
   /// The number of upstreams that have blocks.
@@ -46,14 +47,14 @@
 
 private:
   struct block_cache {
-    std::list<prompt_piece> Blocks; ///< Most recently used first.
-    std::unordered_map<uint64_t, std::list<prompt_piece>::iterator> ByKey;
+    std::list<prompt_block> Blocks; ///< Most recently used first.
+    std::unordered_map<uint64_t, std::list<prompt_block>::iterator> ByKey;
     uint64_t Tokens = 0;
   };
 
-  void touch(block_cache &Cache, prompt_piece Block);
+  void touch(block_cache &Cache, prompt_block Block);
   static void erase(block_cache &Cache,
-                    std::list<prompt_piece>::iterator Block);
+                    std::list<prompt_block>::iterator Block);
 
   std::unordered_map<uint64_t, block_cache> Caches; ///< By upstream.
   /// The size of an upstream's KV cache; a default until the service's
--- a/policy/prompt_pace.cpp
+++ b/policy/prompt_pace.cpp
@@ -1,4 +1,5 @@
-//===- prompt_pace.cpp - How long the prefill of prompts takes ------------===//
+//===- prefill_estimator.cpp - How long the prefill of prompts takes
+//------------===//
 
 #include "policy/prompt_pace.h"
 #include <algorithm>
@@ -36,16 +37,18 @@
 
 } // namespace
 
-double prompt_pace::secondsFor(const std::string &Model, double Cost,
-                               uint32_t Tokens, uint32_t Cached) const {
+double prefill_estimator::estimateSeconds(const std::string &Model, double Cost,
+                                          uint32_t Tokens,
+                                          uint32_t Cached) const {
   auto It = Paces.find(Model);
   double Pace = It == Paces.end() ? InitialSecondsPerToken * Cost
                                   : It->second.SecondsPerToken;
   return Pace * (prefillWork(Tokens) - prefillWork(std::min(Cached, Tokens)));
 }
 
-void prompt_pace::firstToken(const std::string &Model, double Cost,
-                             uint32_t Tokens, uint32_t Cached, double Seconds) {
+void prefill_estimator::recordFirstToken(const std::string &Model, double Cost,
+                                         uint32_t Tokens, uint32_t Cached,
+                                         double Seconds) {
   if (Tokens < MinUncachedTokens || Tokens - MinUncachedTokens < Cached)
     return;
   estimated_pace &Pace =
--- a/policy/prompt_pace.h
+++ b/policy/prompt_pace.h
@@ -1,4 +1,5 @@
-//===- prompt_pace.h - How long the prefill of prompts takes ----*- C++ -*-===//
+//===- prefill_estimator.h - How long the prefill of prompts takes ----*- C++
+//-*-===//
 //
 // Prefill speed differs between deployments, and between the models of one by
 // a factor of ten, so it is estimated for each model from the times to first
@@ -18,24 +19,24 @@
 /// The cost of an output token in input tokens: on an upstream with most of its
 /// slots in use, generating one token takes as long as the prefill of this
 /// many.
-constexpr uint32_t ReadTokensPerMade = 10;
+constexpr uint32_t InputTokensPerOutputToken = 10;
 /// The part of the time to first token on an idle upstream that does not depend
 /// on the length of the prompt.
 constexpr double FirstTokenSeconds = 0.05;
 
 /// Estimates the prefill time per token of each model.
-class prompt_pace {
+class prefill_estimator {
 public:
   /// Expected seconds for the prefill of a prompt of \p Tokens tokens, of which
   /// the first \p Cached are in the upstream's KV cache. \p Cost is the cost of
   /// the model relative to the cheapest one; the initial estimate is
   /// proportional to it.
-  double secondsFor(const std::string &Model, double Cost, uint32_t Tokens,
-                    uint32_t Cached = 0) const;
+  double estimateSeconds(const std::string &Model, double Cost, uint32_t Tokens,
+                         uint32_t Cached = 0) const;
   /// Updates the estimate with a first token that was received \p Seconds after
   /// the request was sent. Prompts with few uncached tokens are ignored.
-  void firstToken(const std::string &Model, double Cost, uint32_t Tokens,
-                  uint32_t Cached, double Seconds);
+  void recordFirstToken(const std::string &Model, double Cost, uint32_t Tokens,
+                        uint32_t Cached, double Seconds);
 
 private:
   struct estimated_pace {
--- a/policy/replica_choice.cpp
+++ b/policy/replica_choice.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-bool isNews(told_load Reported, told_load Now, uint32_t Slots) {
+bool isReportDue(told_load Reported, told_load Now, uint32_t Slots) {
   uint32_t Step = std::max(1U, Slots / ReportDivisor);
   return distance(Reported.Running, Now.Running) >= Step ||
          distance(Reported.Queued, Now.Queued) >= Step ||
@@ -60,14 +60,14 @@
 // Used to decide whether to move a queued request, which pays off only if the
 // other upstream has a free slot. If all are busy, moving costs messages and
 // loses the cached prefix for nothing.
-bool seemsFree(const replica_news &State) {
+bool hasFreeSlot(const replica_state &State) {
   double ReportWeight = std::exp(-State.Age / ReportDecaySeconds);
   double Others = std::max(0.0, State.ReportedRunning - State.OwnAtReport);
   return State.ReportedQueued * ReportWeight < 0.5 &&
          State.OwnInFlight + ReportWeight * Others + 1 <= State.Slots;
 }
 
-double expectedLoad(const replica_news &State) {
+double expectedLoad(const replica_state &State) {
   double ReportWeight = std::exp(-State.Age / ReportDecaySeconds);
   double Others = std::max(0.0, State.ReportedRunning - State.OwnAtReport);
   double Work = State.OwnInFlight + ReportWeight * Others +
@@ -78,7 +78,7 @@
 
 // Compares the upstream that is preferred for the prompt prefix with a few
 // drawn at random.
-std::optional<size_t> chooseReplica(const std::vector<replica_news> &Replicas,
+std::optional<size_t> chooseReplica(const std::vector<replica_state> &Replicas,
                                     std::mt19937_64 &Random) {
   if (Replicas.empty())
     return std::nullopt;
--- a/policy/replica_choice.h
+++ b/policy/replica_choice.h
@@ -34,7 +34,7 @@
 };
 
 /// What an entry has of an upstream at the moment of the choice.
-struct replica_news {
+struct replica_state {
   double OwnInFlight = 0;     ///< Requests of this entry, now.
   double ReportedRunning = 0; ///< Of all entries, in the sidecar's last report.
   double ReportedQueued = 0;  ///< Of all entries, in the sidecar's last report.
@@ -48,10 +48,10 @@
 
 /// Expected load per slot, where queued requests and another data hall count
 /// for more; lower is better.
-double expectedLoad(const replica_news &State);
+double expectedLoad(const replica_state &State);
 
 /// How often a request that was queued may be moved to another upstream.
-constexpr int MostMoves = 2;
+constexpr int MaxMoves = 2;
 
 /// The load of an upstream, as its sidecar reports it to entries.
 struct told_load {
@@ -61,13 +61,13 @@
 
 /// True if \p Now differs enough from the load that was last \p Reported to
 /// change the choices of entries, so that a new report is due.
-bool isNews(told_load Reported, told_load Now, uint32_t Slots);
+bool isReportDue(told_load Reported, told_load Now, uint32_t Slots);
 
 /// True if a request sent now is expected to start without queueing.
-bool seemsFree(const replica_news &State);
+bool hasFreeSlot(const replica_state &State);
 
 /// The index in \p Replicas of the upstream to use; none if it is empty.
-std::optional<size_t> chooseReplica(const std::vector<replica_news> &Replicas,
+std::optional<size_t> chooseReplica(const std::vector<replica_state> &Replicas,
                                     std::mt19937_64 &Random);
 
 } // namespace olivevalve
--- a/policy/retry_share.cpp
+++ b/policy/retry_share.cpp
@@ -54,7 +54,7 @@
   Tokens = std::min(Tokens + FromTime, maxTokens());
 }
 
-void retry_share::requestSeen(double Now) {
+void retry_share::recordRequest(double Now) {
   advanceTo(Now);
   ++Ring[size_t(Current) % Slices];
   ++Requests;
@@ -73,7 +73,7 @@
   return true;
 }
 
-void retry_share::giveBack(double Now) {
+void retry_share::returnToken(double Now) {
   advanceTo(Now);
   Tokens = std::min(Tokens + 1, maxTokens());
 }
--- a/policy/retry_share.h
+++ b/policy/retry_share.h
@@ -46,13 +46,13 @@
   /// known yet, and then this gateway uses none of the slack.
   void setBounds(retry_window_bounds Bounds, uint32_t Gateways);
   /// Records a request, which adds a fraction of a token.
-  void requestSeen(double Now);
+  void recordRequest(double Now);
   /// Takes a token for one retry; false if there is none.
   bool take(double Now);
   /// True if a token is available.
   bool left(double Now);
   /// Returns a token that was taken for a retry that is not sent.
-  void giveBack(double Now);
+  void returnToken(double Now);
 
   double tokens() const { return Tokens; }
   /// The number of requests in the window, as of the last call with a time.
--- a/policy/service_guard.cpp
+++ b/policy/service_guard.cpp
@@ -54,31 +54,33 @@
 
 } // namespace
 
-double completeAt(double DurationSeconds) {
+double completeAfterSeconds(double DurationSeconds) {
   return DurationSeconds - marginSeconds(DurationSeconds);
 }
 
-double shiftAt(double DurationSeconds) {
-  return completeAt(DurationSeconds) -
+double shiftAfterSeconds(double DurationSeconds) {
+  return completeAfterSeconds(DurationSeconds) -
          std::min(MaxShiftSeconds, DurationSeconds * ShiftShare);
 }
 
-rollout_judgement judgeRollout(const rollout_facts &Input) {
+rollout_decision judgeRollout(const rollout_input &Input) {
   if (hasHigherErrorRate(Input.New, Input.Old))
     return {rollout_verdict::Revert, "fails more than the version before"};
   if (isSlower(Input.New, Input.Old))
     return {rollout_verdict::Revert, "is slower than the version before"};
-  bool IsCanary = Input.Stand == rollout_stand::Canary;
+  bool IsCanary = Input.Stand == rollout_phase::Canary;
   bool HasAnswers = Input.New.Answers > 0;
-  if (Input.ElapsedSeconds >= completeAt(Input.DurationSeconds) && !IsCanary)
-    return HasAnswers ? rollout_judgement{rollout_verdict::Complete, "is sound"}
-                      : rollout_judgement{rollout_verdict::Revert,
-                                          "has given no answer"};
-  if (Input.ElapsedSeconds >= shiftAt(Input.DurationSeconds) && IsCanary)
+  if (Input.ElapsedSeconds >= completeAfterSeconds(Input.DurationSeconds) &&
+      !IsCanary)
+    return HasAnswers ? rollout_decision{rollout_verdict::Complete, "is sound"}
+                      : rollout_decision{rollout_verdict::Revert,
+                                         "has given no answer"};
+  if (Input.ElapsedSeconds >= shiftAfterSeconds(Input.DurationSeconds) &&
+      IsCanary)
     return HasAnswers
-               ? rollout_judgement{rollout_verdict::Shift, "is sound so far"}
-               : rollout_judgement{rollout_verdict::Revert,
-                                   "has given no answer"};
+               ? rollout_decision{rollout_verdict::Shift, "is sound so far"}
+               : rollout_decision{rollout_verdict::Revert,
+                                  "has given no answer"};
   return {};
 }
 
--- a/policy/service_guard.h
+++ b/policy/service_guard.h
@@ -33,11 +33,11 @@
 
 /// Canary: the new version gets a small share of the new sessions. Shift: it
 /// gets everything new.
-enum class rollout_stand : uint8_t { Canary, Shift };
+enum class rollout_phase : uint8_t { Canary, Shift };
 
 /// The input of judgeRollout().
-struct rollout_facts {
-  rollout_stand Stand = rollout_stand::Canary;
+struct rollout_input {
+  rollout_phase Stand = rollout_phase::Canary;
   double ElapsedSeconds = 0; ///< Since the roll-out was ordered.
   /// Time from the order within which the roll-out must be completed or
   /// reverted.
@@ -48,7 +48,7 @@
 
 enum class rollout_verdict : uint8_t { Stay, Shift, Complete, Revert };
 
-struct rollout_judgement {
+struct rollout_decision {
   rollout_verdict Verdict = rollout_verdict::Stay;
   std::string_view Reason; ///< For operators; empty for Stay.
 };
@@ -57,11 +57,11 @@
 constexpr double CanaryShare = 0.06;
 
 /// Seconds from the order to the shift of all new traffic.
-double shiftAt(double DurationSeconds);
+double shiftAfterSeconds(double DurationSeconds);
 /// Seconds from the order to the completion of the roll-out.
-double completeAt(double DurationSeconds);
+double completeAfterSeconds(double DurationSeconds);
 
-rollout_judgement judgeRollout(const rollout_facts &Input);
+rollout_decision judgeRollout(const rollout_input &Input);
 
 } // namespace olivevalve
 
--- a/policy/subset.cpp
+++ b/policy/subset.cpp
@@ -44,7 +44,7 @@
 }
 
 std::vector<std::string> chooseSubset(std::vector<subset_replica> Replicas,
-                                      const subset_question &Input) {
+                                      const subset_input &Input) {
   size_t Size = subsetSize(Replicas.size(), std::max<size_t>(1, Input.Entries));
   auto Rank = [&](const subset_replica &Replica) {
     return checksum(Replica.Name, Input.EntryHash);
--- a/policy/subset.h
+++ b/policy/subset.h
@@ -25,7 +25,7 @@
 };
 
 /// The entry that the subset is for.
-struct subset_question {
+struct subset_input {
   uint64_t EntryHash = 0; ///< Determines the entry's order of the replicas.
   size_t Entries = 1;     ///< The number of entries that share the replicas.
 };
@@ -52,7 +52,7 @@
 /// The names of the replicas that the entry connects to: the first ones in the
 /// entry's own pseudo-random order, most of them in its data hall.
 std::vector<std::string> chooseSubset(std::vector<subset_replica> Replicas,
-                                      const subset_question &Input);
+                                      const subset_input &Input);
 
 } // namespace olivevalve
 
--- a/policy/upstream_choice.cpp
+++ b/policy/upstream_choice.cpp
@@ -78,26 +78,27 @@
 
 } // namespace
 
-void supposeUnseen(std::vector<upstream_view> &Upstreams) {
+void estimateUnobservedLoad(std::vector<upstream_view> &Upstreams) {
   estimateUnknownLoads(Upstreams);
   double Seconds = 0;
   double Seen = 0;
   for (const upstream_view &Each : Upstreams) {
-    Seconds += Each.PromptSeconds;
+    Seconds += Each.PrefillSeconds;
     Seen += Each.Seen;
   }
   if (Seen <= 0)
     return;
   for (upstream_view &Each : Upstreams)
-    Each.PromptSeconds += std::max(0.0, Each.Load - Each.Seen) * Seconds / Seen;
+    Each.PrefillSeconds +=
+        std::max(0.0, Each.Load - Each.Seen) * Seconds / Seen;
 }
 
-double meanPromptSeconds(const std::vector<upstream_view> &Upstreams) {
+double meanPrefillSeconds(const std::vector<upstream_view> &Upstreams) {
   double Seconds = 0;
   size_t Eligible = 0;
   for (const upstream_view &Each : Upstreams)
     if (!Each.Suspect) {
-      Seconds += Each.PromptSeconds;
+      Seconds += Each.PrefillSeconds;
       ++Eligible;
     }
   return Seconds / double(std::max<size_t>(1, Eligible));
@@ -186,18 +187,18 @@
 
 } // namespace
 
-std::optional<size_t> chooseSoonest(const std::vector<upstream_view> &Upstreams,
-                                    const prompt_view &Prompt,
-                                    std::mt19937_64 &Random) {
+std::optional<size_t>
+chooseEarliestFirstToken(const std::vector<upstream_view> &Upstreams,
+                         const prompt_view &Prompt, std::mt19937_64 &Random) {
   bool SkipSuspects = anyNotSuspect(Upstreams);
   preferred_upstreams Preferred;
-  if (Prompt.SharedSeconds > 0)
-    Preferred = preferredUpstreams(Upstreams, Prompt.SharedKey);
+  if (Prompt.SharedPrefillSeconds > 0)
+    Preferred = preferredUpstreams(Upstreams, Prompt.SharedPrefixKey);
   double MinPrefill = Prompt.Seconds;
   for (const upstream_view &Upstream : Upstreams)
     MinPrefill = std::min(MinPrefill, Upstream.ReadSeconds);
-  double UncachedShared =
-      std::max(0.0, MinPrefill - (Prompt.Seconds - Prompt.SharedSeconds));
+  double UncachedShared = std::max(
+      0.0, MinPrefill - (Prompt.Seconds - Prompt.SharedPrefillSeconds));
   std::uniform_real_distribution<double> Jitter(0, JitterSeconds);
   std::optional<size_t> Best;
   double Lowest = 0;
@@ -208,7 +209,7 @@
       continue;
     if (!Sampled.empty() && !Sampled[I])
       continue;
-    double Seconds = Upstream.PromptSeconds + loadPenaltySeconds(Upstream) +
+    double Seconds = Upstream.PrefillSeconds + loadPenaltySeconds(Upstream) +
                      PrefillWeight * Upstream.ReadSeconds + Jitter(Random);
     if (!Upstream.SameHall)
       Seconds += OtherHallPenaltySeconds;
--- a/policy/upstream_choice.h
+++ b/policy/upstream_choice.h
@@ -33,7 +33,7 @@
   bool Suspect = false;
   /// Upstream time for the outstanding prefill of requests already sent there,
   /// as far as it is known, in seconds.
-  double PromptSeconds = 0;
+  double PrefillSeconds = 0;
   /// Upstream time for the prefill of the part of this request's prompt that
   /// the upstream does not have in its cache, in seconds.
   double ReadSeconds = 0;
@@ -45,20 +45,20 @@
   /// Upstream time for the prefill of the whole prompt, in seconds.
   double Seconds = 0;
   /// The same for the prefix that it shares with other prompts.
-  double SharedSeconds = 0;
+  double SharedPrefillSeconds = 0;
   /// Hash of the model and the shared prefix; 0 if there is no such prefix.
-  uint64_t SharedKey = 0;
+  uint64_t SharedPrefixKey = 0;
 };
 
 /// Fills in estimates for a gateway that receives updates from only some of the
 /// other gateways. An upstream with unknown load is assumed to be at least as
 /// full as the median of the others. Requests whose prefill work is unknown are
 /// assumed to need the mean of those whose work is known.
-void supposeUnseen(std::vector<upstream_view> &Upstreams);
+void estimateUnobservedLoad(std::vector<upstream_view> &Upstreams);
 
 /// The mean outstanding prefill work of the upstreams that are not suspect, in
 /// seconds; 0 if there is none.
-double meanPromptSeconds(const std::vector<upstream_view> &Upstreams);
+double meanPrefillSeconds(const std::vector<upstream_view> &Upstreams);
 
 /// The index of the upstream with the lowest load per slot; none if
 /// \p Upstreams is empty.
@@ -71,9 +71,9 @@
 /// none if \p Upstreams is empty. All gateways prefer the same two upstreams
 /// for a shared prefix that no upstream has cached, so that few upstreams
 /// compute and cache it, unless the request would have to wait there.
-std::optional<size_t> chooseSoonest(const std::vector<upstream_view> &Upstreams,
-                                    const prompt_view &Prompt,
-                                    std::mt19937_64 &Random);
+std::optional<size_t>
+chooseEarliestFirstToken(const std::vector<upstream_view> &Upstreams,
+                         const prompt_view &Prompt, std::mt19937_64 &Random);
 
 } // namespace olivevalve
 
--- a/policy/version_choice.cpp
+++ b/policy/version_choice.cpp
@@ -47,7 +47,7 @@
   double BetterShare = 0;
 };
 
-std::vector<scored_arm> scoreArms(const choice_question &Input,
+std::vector<scored_arm> scoreArms(const choice_input &Input,
                                   const estimates &Estimates) {
   std::vector<scored_arm> Arms;
   auto Add = [&](const arm &Arm, double PriorCost) {
@@ -154,8 +154,7 @@
   return Best;
 }
 
-cached_choice prepare(const choice_question &Input,
-                      const estimates &Estimates) {
+cached_choice prepare(const choice_input &Input, const estimates &Estimates) {
   cached_choice Choice{.EstimatesRevision = Estimates.change(),
                        .Template = Input.Template,
                        .Account = Input.Account};
@@ -178,7 +177,7 @@
   return Choice;
 }
 
-uint64_t hashOf(const choice_question &Input) {
+uint64_t hashOf(const choice_input &Input) {
   uint64_t Hash = checksum(Input.Template, Input.MayCascade ? 1 : 0);
   Hash = checksum(Input.Account, Hash);
   Hash = checksum({reinterpret_cast<const char *>(&Input.QualityTarget),
@@ -193,7 +192,7 @@
 
 // Different inputs may have the same hash; a client account must not get the
 // arms of another one.
-bool matches(const cached_choice &Choice, const choice_question &Input) {
+bool matches(const cached_choice &Choice, const choice_input &Input) {
   return Choice.Template == Input.Template && Choice.Account == Input.Account &&
          std::equal(Choice.Candidates.begin(), Choice.Candidates.end(),
                     Input.Candidates.begin(), Input.Candidates.end(),
@@ -202,17 +201,17 @@
                     });
 }
 
-choice_answer chooseCheapest(const cached_choice &Choice, double Explore,
-                             std::mt19937_64 &Random) {
+chosen_arm chooseCheapest(const cached_choice &Choice, double Explore,
+                          std::mt19937_64 &Random) {
   if (uniform(Random) < Explore && Choice.Explore)
     return {*Choice.Explore, true, false};
   bool Better = uniform(Random) < Choice.BetterShare;
   return {Better ? Choice.Better : Choice.Cheap, false, false};
 }
 
-choice_answer chooseSplit(const choice_question &Input,
-                          const std::vector<double> &Weights,
-                          std::mt19937_64 &Random) {
+chosen_arm chooseSplit(const choice_input &Input,
+                       const std::vector<double> &Weights,
+                       std::mt19937_64 &Random) {
   double Total = 0;
   for (size_t I = 0; I < Input.Candidates.size(); ++I)
     Total += I < Weights.size() ? Weights[I] : 1;
@@ -225,7 +224,7 @@
   return {{Input.Candidates.back().Name, {}}, false, false};
 }
 
-choice_answer chooseCascade(const choice_question &Input) {
+chosen_arm chooseCascade(const choice_input &Input) {
   const auto &All = Input.Candidates;
   auto Cheaper = [](const auto &A, const auto &B) {
     return A.PriorCost < B.PriorCost;
@@ -237,36 +236,36 @@
 }
 
 struct policy_visitor {
-  const choice_question &Input;
+  const choice_input &Input;
   const estimates &Estimates;
-  prepared_choices &Cache;
+  choice_cache &Cache;
   std::mt19937_64 &Random;
 
-  choice_answer operator()(const fixed_policy &) const {
+  chosen_arm operator()(const fixed_policy &) const {
     return {{Input.Candidates.front().Name, {}}, false, false};
   }
-  choice_answer operator()(const split_policy &Policy) const {
+  chosen_arm operator()(const split_policy &Policy) const {
     return chooseSplit(Input, Policy.Weights, Random);
   }
-  choice_answer operator()(const cheapest_policy &Policy) const {
+  chosen_arm operator()(const cheapest_policy &Policy) const {
     return chooseCheapest(Cache.of(Input, Estimates), Policy.ExploreShare,
                           Random);
   }
-  choice_answer operator()(const cascade_policy &) const {
+  chosen_arm operator()(const cascade_policy &) const {
     return chooseCascade(Input);
   }
 };
 
 } // namespace
 
-double escalationThreshold(const choice_question &Input) {
+double escalationThreshold(const choice_input &Input) {
   if (const auto *Cascade = std::get_if<cascade_policy>(&Input.Policy))
     return Cascade->Threshold;
   return Input.QualityTarget - EscalationMargin;
 }
 
-const cached_choice &prepared_choices::of(const choice_question &Input,
-                                          const estimates &Estimates) {
+const cached_choice &choice_cache::of(const choice_input &Input,
+                                      const estimates &Estimates) {
   uint64_t Hash = hashOf(Input);
   auto It = Choices.find(Hash);
   bool Valid = It != Choices.end() &&
@@ -279,10 +278,10 @@
   return Choices[Hash] = prepare(Input, Estimates);
 }
 
-std::optional<choice_answer> chooseArm(const choice_question &Input,
-                                       const estimates &Estimates,
-                                       prepared_choices &Cache,
-                                       std::mt19937_64 &Random) {
+std::optional<chosen_arm> chooseArm(const choice_input &Input,
+                                    const estimates &Estimates,
+                                    choice_cache &Cache,
+                                    std::mt19937_64 &Random) {
   const auto &All = Input.Candidates;
   auto IsRolling = [](const auto &Candidate) { return Candidate.Rolling; };
   size_t Rolling = size_t(std::count_if(All.begin(), All.end(), IsRolling));
@@ -290,14 +289,14 @@
     if (!Candidate.Rolling || Candidate.Allowance < 1)
       continue;
     if (Rolling == All.size() || uniform(Random) < RollingShare)
-      return choice_answer{{Candidate.Name, {}}, false, true};
+      return chosen_arm{{Candidate.Name, {}}, false, true};
   }
   if (Rolling == All.size())
     return std::nullopt;
   policy_visitor Visitor{Input, Estimates, Cache, Random};
   if (Rolling == 0)
     return std::visit(Visitor, Input.Policy);
-  choice_question NotRolling = Input;
+  choice_input NotRolling = Input;
   std::erase_if(NotRolling.Candidates, IsRolling);
   return std::visit(policy_visitor{NotRolling, Estimates, Cache, Random},
                     NotRolling.Policy);
--- a/policy/version_choice.h
+++ b/policy/version_choice.h
@@ -33,7 +33,7 @@
 };
 
 /// The input of chooseArm().
-struct choice_question {
+struct choice_input {
   std::string Template;
   std::string Account;
   double QualityTarget = 0.8; ///< Expected rating to reach, 0 to 1.
@@ -45,7 +45,7 @@
 };
 
 /// The result of chooseArm().
-struct choice_answer {
+struct chosen_arm {
   arm Arm;
   bool Exploring = false; ///< Chosen to learn more about this arm.
   bool Rolling = false;   ///< Counts against the exposure budget.
@@ -66,12 +66,12 @@
 };
 
 /// A cache of these choices by a hash of the input; an entry process has one.
-class prepared_choices {
+class choice_cache {
 public:
   /// Returns the choice for \p Input. Computes it if it is not in the cache or
   /// if \p Estimates have changed since. The reference is valid until the next
   /// call.
-  const cached_choice &of(const choice_question &Input,
+  const cached_choice &of(const choice_input &Input,
                           const estimates &Estimates);
 
 private:
@@ -79,14 +79,14 @@
 };
 
 /// The rating below which a cascade asks its second version.
-double escalationThreshold(const choice_question &Input);
+double escalationThreshold(const choice_input &Input);
 
 /// Returns none if there is no candidate, or if all candidates are rolling out
 /// and none has an allowance left.
-std::optional<choice_answer> chooseArm(const choice_question &Input,
-                                       const estimates &Estimates,
-                                       prepared_choices &Cache,
-                                       std::mt19937_64 &Random);
+std::optional<chosen_arm> chooseArm(const choice_input &Input,
+                                    const estimates &Estimates,
+                                    choice_cache &Cache,
+                                    std::mt19937_64 &Random);
 
 } // namespace olivevalve
 
--- a/policy/warming.cpp
+++ b/policy/warming.cpp
@@ -25,8 +25,8 @@
 
 } // namespace
 
-double warmingShare(double RequestsPerSecond, cold_bounds Bounds,
-                    warming_circle Group) {
+double warmupRate(double RequestsPerSecond, cold_bounds Bounds,
+                  warmup_group Group) {
   if (Group.Gateways == 0)
     return 0;
   size_t Planned = plannedRequests(RequestsPerSecond, Bounds);
@@ -35,7 +35,7 @@
   return double(PerGateway + GetsOneMore);
 }
 
-void warming_pace::sent(double Now, double Rate) {
+void warmup_pacer::sent(double Now, double Rate) {
   NextAt = Now + GapMargin / Rate;
 }
 
--- a/policy/warming.h
+++ b/policy/warming.h
@@ -29,7 +29,7 @@
 };
 
 /// The gateways that may send to a cold upstream, as one of them sees them.
-struct warming_circle {
+struct warmup_group {
   /// The number of gateways including this one; 0 if it is not known.
   size_t Gateways = 0;
   /// The rank of this gateway, from 0. It differs between upstreams, so that
@@ -39,12 +39,12 @@
 
 /// The rate in requests per second at which this gateway may send to a cold
 /// upstream that can process \p RequestsPerSecond; 0: it must not send at all.
-double warmingShare(double RequestsPerSecond, cold_bounds Bounds,
-                    warming_circle Group);
+double warmupRate(double RequestsPerSecond, cold_bounds Bounds,
+                  warmup_group Group);
 
 /// Spaces out one gateway's requests to one cold upstream. Times are
 /// steady-clock seconds.
-class warming_pace {
+class warmup_pacer {
 public:
   bool allows(double Now) const { return Now >= NextAt; }
   /// The time from which the next request is allowed.
@@ -61,7 +61,7 @@
 /// After its start a gateway sends nothing to cold upstreams for this long: the
 /// bound applies to any second, and the gateway does not know what it sent
 /// before the restart.
-constexpr double ForgottenSeconds = 1.1;
+constexpr double RestartDelaySeconds = 1.1;
 
 } // namespace olivevalve
 
--- a/quarantine/crash_reports.cpp
+++ b/quarantine/crash_reports.cpp
@@ -37,7 +37,7 @@
 
 void crash_reports::report(const crash_report &Report) {
   double Now = steadySeconds();
-  if (Evidence.answeredLately(Report.Request, Now)) {
+  if (Evidence.answeredRecently(Report.Request, Now)) {
     // Other processes may not have received that it was answered here.
     return clearSuspicion(Report.Request, Now);
   }
@@ -51,12 +51,12 @@
 
 void crash_reports::record(const crash_report &Report) {
   double Now = steadySeconds();
-  if (Evidence.answeredLately(Report.Request, Now))
+  if (Evidence.answeredRecently(Report.Request, Now))
     return clearSuspicion(Report.Request, Now);
   if (!Evidence.ended(Report, Now))
     return;
   size_t Crashes = Evidence.endsUnder(Report.Request, Now).size();
-  bool Refused = Crashes >= crash_evidence::EndsToConvict;
+  bool Refused = Crashes >= crash_evidence::CrashesToQuarantine;
   logLine(Refused ? log_level::Warning : log_level::Info,
           "upstream crashed while processing a request",
           {{"request", hexOf(Report.Request)},
@@ -76,10 +76,10 @@
 
 bool crash_reports::refuses(const short_digest &Request) const {
   double Now = steadySeconds();
-  if (Evidence.convicted(Request, Now))
+  if (Evidence.shouldQuarantine(Request, Now))
     return true;
   return Quarantined.contains(Request) &&
-         !Evidence.answeredLately(Request, Now);
+         !Evidence.answeredRecently(Request, Now);
 }
 
 void crash_reports::forgetOld(double Now) {
@@ -108,7 +108,7 @@
   for (const auto &[Request, At] : Cleared)
     fillName(Request, *News.add_answered());
   for (const short_digest &Request : Quarantined)
-    if (Evidence.answeredLately(Request, Now))
+    if (Evidence.answeredRecently(Request, Now))
       fillName(Request, *News.add_answered());
 }
 
@@ -123,7 +123,7 @@
   }
 }
 
-void crash_reports::fillNew(wire::crash_news &News) const {
+void crash_reports::fillRecent(wire::crash_news &News) const {
   double Now = steadySeconds();
   for (auto It = Reports.rbegin();
        It != Reports.rend() && Now < It->SeenAt + RecentSeconds &&
--- a/quarantine/crash_reports.h
+++ b/quarantine/crash_reports.h
@@ -41,7 +41,7 @@
   /// Applies the set of quarantined requests from control.
   void hear(const wire::quarantine_news &News);
   /// Fills a message to other processes of the same kind with recent reports.
-  void fillNew(wire::crash_news &News) const;
+  void fillRecent(wire::crash_news &News) const;
   /// Applies a message from another process.
   void hear(const wire::crash_news &News);
 
--- a/quarantine/crash_watch.cpp
+++ b/quarantine/crash_watch.cpp
@@ -26,8 +26,8 @@
             [](const listener_probe &Each) { return Each.done(); });
       }) {}
 
-void crash_watch::brokeOff(const watched_upstream &Upstream,
-                           const short_digest &Request) {
+void crash_watch::recordInterruptedRequest(const watched_upstream &Upstream,
+                                           const short_digest &Request) {
   double Now = steadySeconds();
   forgetOld(Now);
   if (CrashedAt.contains(Upstream.Place))
--- a/quarantine/crash_watch.h
+++ b/quarantine/crash_watch.h
@@ -33,7 +33,8 @@
   crash_watch(struct ev_loop *Loop, metrics &Metrics, crash_reports &Reports);
 
   /// Records that an upstream left a request without a complete response.
-  void brokeOff(const watched_upstream &Upstream, const short_digest &Request);
+  void recordInterruptedRequest(const watched_upstream &Upstream,
+                                const short_digest &Request);
   /// Records that the upstream's process has terminated. \p How: the evidence,
   /// for logs and metrics.
   void ended(const watched_upstream &Upstream, std::string_view How);
--- a/sidecar/sidecar_task.cpp
+++ b/sidecar/sidecar_task.cpp
@@ -110,7 +110,7 @@
   if (!Upstream || !Upstream->managed() || !Control.hasLease())
     return;
   auto Placement = Config.objects().find({"placement", Options.Upstream});
-  load_wish Assignment{.Room = size_t(Upstream->Room)};
+  version_assignment Assignment{.Room = size_t(Upstream->Room)};
   if (Placement != Config.objects().end())
     Assignment.Index = Placement->second.Index;
   for (const version_name &Name : Config.versionsOf(*Upstream)) {
@@ -416,7 +416,7 @@
   }
   short_digest Request = digestOf(Work.Attempt.request());
   if (!Answered)
-    return Crashes.brokeOff(engine(), Request);
+    return Crashes.recordInterruptedRequest(engine(), Request);
   Crashes.answers(engine().Place, Work.Started);
   if (Work.Status < 300)
     Reports.answered(Request);
@@ -545,7 +545,7 @@
   bool LeaseChanged = Control.hasLease() != HadLease;
   HadLease = Control.hasLease();
   told_load Load{uint32_t(Running), uint32_t(Queue.size())};
-  if (LeaseChanged || isNews(LastSentLoad, Load, uint32_t(slots())))
+  if (LeaseChanged || isReportDue(LastSentLoad, Load, uint32_t(slots())))
     sendReport();
   updateVersions();
   readEngineLoad();
--- a/sidecar/version_loader.cpp
+++ b/sidecar/version_loader.cpp
@@ -33,9 +33,9 @@
 }
 
 std::map<version_name, std::string>
-versionsToOrder(const load_wish &Assignment,
-                const std::map<version_name, std::string> &Held,
-                const std::set<version_name> &InUse) {
+versionsToLoad(const version_assignment &Assignment,
+               const std::map<version_name, std::string> &Held,
+               const std::set<version_name> &InUse) {
   std::map<version_name, std::string> Order;
   for (const auto &[Version, Name] : Held)
     if (InUse.contains(Version) || Assignment.Versions.contains(Version))
@@ -49,7 +49,7 @@
 version_loader::version_loader(http_client &Http, std::string EngineUrl)
     : Http(Http), Url(std::move(EngineUrl) + "/models") {}
 
-void version_loader::update(const load_wish &NewAssignment,
+void version_loader::update(const version_assignment &NewAssignment,
                             const std::set<version_name> &InUse) {
   if (Pending)
     return;
@@ -59,7 +59,7 @@
   std::map<version_name, std::string> Held;
   for (const version_name &Version : Loaded)
     Held.emplace(Version, EngineNames[Version]);
-  auto NewTarget = versionsToOrder(Assignment, Held, InUse);
+  auto NewTarget = versionsToLoad(Assignment, Held, InUse);
   Confirmed = Confirmed && NewTarget == Target &&
               Fence / FencesPerAssignment == Assignment.Index;
   Target = std::move(NewTarget);
--- a/sidecar/version_loader.h
+++ b/sidecar/version_loader.h
@@ -32,7 +32,7 @@
 std::optional<engine_models> parseEngineModels(std::string_view Body);
 
 /// The versions that control has assigned to an upstream.
-struct load_wish {
+struct version_assignment {
   /// Of the assignment. Orders under a later one have higher fencing numbers.
   uint64_t Index = 0;
   std::map<version_name, std::string> Versions; ///< With the engine's names.
@@ -43,9 +43,9 @@
 /// requests in flight, which are never unloaded. A newly assigned version waits
 /// until there is room.
 std::map<version_name, std::string>
-versionsToOrder(const load_wish &Assignment,
-                const std::map<version_name, std::string> &Held,
-                const std::set<version_name> &InUse);
+versionsToLoad(const version_assignment &Assignment,
+               const std::map<version_name, std::string> &Held,
+               const std::set<version_name> &InUse);
 
 /// Keeps one engine on its assignment.
 class version_loader {
@@ -55,7 +55,8 @@
   /// Adopts the assignment and starts a request that applies it or checks the
   /// engine's state. Must be called periodically, and only while the sidecar
   /// holds a lease. \p InUse are the versions with requests in flight.
-  void update(const load_wish &Assignment, const std::set<version_name> &InUse);
+  void update(const version_assignment &Assignment,
+              const std::set<version_name> &InUse);
   /// Versions that the engine reported last.
   const std::set<version_name> &loaded() const { return Loaded; }
 
@@ -68,7 +69,7 @@
 
   http_client &Http;
   std::string Url;
-  load_wish Assignment;
+  version_assignment Assignment;
   std::map<version_name, std::string> Target; ///< Versions of the last order.
   /// The engine's names of all versions assigned so far.
   std::map<version_name, std::string> EngineNames;
--- a/tests/consensus_test.cpp
+++ b/tests/consensus_test.cpp
@@ -39,7 +39,7 @@
 }
 
 // A follower of a group of three with three entries of term 2.
-raft_durable followerDisk() {
+raft_durable_state followerDisk() {
   wire::member_list Members;
   for (uint64_t Id : {1, 2, 3}) {
     wire::member *Member = Members.add_members();
@@ -47,7 +47,7 @@
     Member->set_disk(Id * 10);
     Member->set_voter(true);
   }
-  raft_durable Durable;
+  raft_durable_state Durable;
   Durable.Hard = {.Term = 2, .Vote = 0, .Group = "g"};
   for (uint64_t Index : {1, 2, 3}) {
     wire::log_entry Entry;
@@ -291,7 +291,7 @@
   writeSome(Folder.path() + "/d", 20);
   auto Storage = raft_storage::open(Folder.path() + "/d");
   BOOST_REQUIRE(Storage.ok());
-  raft_durable Durable = (*Storage)->takeDurable();
+  raft_durable_state Durable = (*Storage)->takeDurableState();
   BOOST_TEST(Durable.Hard.Term == 5U);
   BOOST_TEST(Durable.Hard.Vote == 2U);
   BOOST_TEST(Durable.Entries.size() == 20U);
@@ -353,7 +353,7 @@
         BOOST_TEST(messageOf(Storage.status()).find("corrupt") !=
                    std::string_view::npos);
       else
-        BOOST_TEST((*Storage)->takeDurable().Entries.size() < 50U);
+        BOOST_TEST((*Storage)->takeDurableState().Entries.size() < 50U);
     }
   }
 }
@@ -383,7 +383,7 @@
   {
     auto Storage = raft_storage::open(Path);
     BOOST_REQUIRE(Storage.ok());
-    raft_durable Before = (*Storage)->takeDurable();
+    raft_durable_state Before = (*Storage)->takeDurableState();
     raft_snapshot Snapshot{
         .Index = 8, .Term = 5, .Members = "", .Image = "image"};
     std::vector<wire::log_entry> Tail(Before.Entries.begin() + 8,
@@ -392,7 +392,7 @@
   }
   auto Storage = raft_storage::open(Path);
   BOOST_REQUIRE(Storage.ok());
-  raft_durable Durable = (*Storage)->takeDurable();
+  raft_durable_state Durable = (*Storage)->takeDurableState();
   BOOST_TEST(Durable.Snapshot.Index == 8U);
   BOOST_TEST(Durable.Snapshot.Image == "image");
   BOOST_TEST(Durable.Entries.size() == 2U);
--- a/tests/explorer.cpp
+++ b/tests/explorer.cpp
@@ -75,7 +75,7 @@
 }
 
 void explorer::persist(vm &Vm, const raft_output &Output) {
-  raft_durable &Durable = Vm.Disk.Written;
+  raft_durable_state &Durable = Vm.Disk.Written;
   if (Output.Hard)
     Durable.Hard = *Output.Hard;
   if (Output.Install) {
@@ -260,9 +260,9 @@
   if (Vm.Core->snapshot().Index != Vm.AppliedIndex)
     return;
   ++Result.Snapshots;
-  raft_durable Durable{.Hard = Vm.Disk.Synced.Hard,
-                       .Snapshot = Vm.Core->snapshot(),
-                       .Entries = Vm.Core->entriesAfterSnapshot()};
+  raft_durable_state Durable{.Hard = Vm.Disk.Synced.Hard,
+                             .Snapshot = Vm.Core->snapshot(),
+                             .Entries = Vm.Core->entriesAfterSnapshot()};
   Vm.Disk.Synced = Vm.Disk.Written = Durable;
 }
 
--- a/tests/explorer.h
+++ b/tests/explorer.h
@@ -47,8 +47,8 @@
 private:
   struct disk {
     uint64_t Identity = 0;
-    raft_durable Synced;
-    raft_durable Written;
+    raft_durable_state Synced;
+    raft_durable_state Written;
   };
   struct vm {
     uint64_t Id = 0;
--- a/tests/flood_test.cpp
+++ b/tests/flood_test.cpp
@@ -190,14 +190,16 @@
                        .SameHall = I % Options.Halls == hallOf(Gateway),
                        .ReadSeconds = ReadSeconds});
     }
-    supposeUnseen(Views);
-    size_t Place = *chooseSoonest(Views, {.Seconds = ReadSeconds}, Random);
-    double Wait = waitForSlot(Views, Pace.slotSeconds());
-    double Chance = refusalChance(Wait, Pace.shortestTarget(), Priority);
+    estimateUnobservedLoad(Views);
+    size_t Place =
+        *chooseEarliestFirstToken(Views, {.Seconds = ReadSeconds}, Random);
+    double Wait = expectedSlotWait(Views, Pace.meanSlotSeconds());
+    double Chance =
+        refusalProbability(Wait, Pace.shortestTargetSeconds(), Priority);
     if (std::uniform_real_distribution<double>(0, 1)(Random) < Chance) {
       double Left = FirstAsked + DeadlineSeconds - Now;
       if (Options.ComeBack && FirstAsked == Now)
-        Returns.emplace(Now + comeBackAfter(Left, Random), FirstAsked);
+        Returns.emplace(Now + retryAfterSeconds(Left, Random), FirstAsked);
       return;
     }
     auto Free = std::min_element(FreeAt[Place].begin(), FreeAt[Place].end());
@@ -227,7 +229,7 @@
   std::multimap<double, first_token> FirstTokens;       ///< By when they come.
   std::vector<std::vector<std::deque<told_load>>> Told; ///< By place, hall.
   std::multimap<double, double> Returns; ///< Of refused ones: when, asked when.
-  service_pace Pace;
+  service_stats Pace;
   std::map<double, result> Results; ///< By when it was first asked.
   std::mt19937_64 Random{23};
 };
--- a/tests/repeats_test.cpp
+++ b/tests/repeats_test.cpp
@@ -72,7 +72,7 @@
   }
   void request(size_t Gateway, int Most = Unlimited) {
     Requests.push_back(Now);
-    Parts[Gateway].requestSeen(Now);
+    Parts[Gateway].recordRequest(Now);
     for (int I = 0; I < Most && Parts[Gateway].take(Now); ++I)
       Repeats.push_back(Now);
   }
@@ -272,7 +272,7 @@
 // ended got 502, though five repeats a request were allowed.
 BOOST_AUTO_TEST_CASE(at_the_first_request_as_often_as_it_earned) {
   retry_share Share({.Ratio = 5, .Slack = 0, .WindowSeconds = 10});
-  Share.requestSeen(1);
+  Share.recordRequest(1);
   int Taken = 0;
   while (Share.take(1))
     ++Taken;
@@ -320,7 +320,7 @@
   sent_times Sent{.Requests = Requests};
   for (size_t I = 0; I < Requests.size(); ++I) {
     retry_share &Window = Windows[I % Gateways];
-    Window.requestSeen(Requests[I]);
+    Window.recordRequest(Requests[I]);
     while (Window.take(Requests[I]))
       Sent.Retries.push_back(Requests[I]);
   }
@@ -357,7 +357,7 @@
   int Refused = 0;
   for (int I = 0; I < 1000; ++I) {
     double Now = 50 + I / 7.0;
-    Window.requestSeen(Now);
+    Window.recordRequest(Now);
     if (Random() % 2 == 0)
       Refused += !Window.take(Now);
   }
--- a/tests/unit/control_test.cpp
+++ b/tests/unit/control_test.cpp
@@ -104,7 +104,7 @@
 BOOST_AUTO_TEST_CASE(a_roll_out_is_judged_by_what_was_counted_since_its_order) {
   gateway_table Gateways;
   Gateways.watched("a", watchOf(1, 100, 90, "v1"), 0);
-  rollout_book Book;
+  rollout_store Book;
   wire::rollout Order;
   Order.set_service("llm");
   Order.set_target_version("v2");
--- a/tests/unit/crash_evidence_test.cpp
+++ b/tests/unit/crash_evidence_test.cpp
@@ -38,13 +38,13 @@
 /// Control as the gateways see it: what the keeper proposes is agreed on.
 class agreed_quarantine {
 public:
-  size_t agree(quarantine_keeper &Keeper, double Now) {
+  size_t agree(quarantine_manager &Keeper, double Now) {
     auto Changes = Keeper.changes(Book, Now);
     for (const wire::quarantine_change &Each : Changes)
       Book.apply(Each, Now);
     return Changes.size();
   }
-  quarantine_book Book;
+  quarantine_store Book;
 };
 
 } // namespace
@@ -88,7 +88,7 @@
     for (const crash_report &Each : Reports) {
       Evidence.ended(Each, 1);
       Seen.insert(Each.Upstream);
-      BOOST_TEST(Evidence.convicted(Guilty, 1) == (Seen.size() == 3));
+      BOOST_TEST(Evidence.shouldQuarantine(Guilty, 1) == (Seen.size() == 3));
     }
   }
 }
@@ -99,19 +99,19 @@
     Evidence.answered(Popular, 0);
     for (uint64_t Upstream = 1; Upstream <= 9; ++Upstream)
       BOOST_TEST(!Evidence.ended({Popular, Upstream}, 1));
-    BOOST_TEST(!Evidence.convicted(Popular, 1));
+    BOOST_TEST(!Evidence.shouldQuarantine(Popular, 1));
   }
   BOOST_TEST_CONTEXT("that came in between") {
     for (uint64_t Upstream = 1; Upstream <= 2; ++Upstream)
       Evidence.ended({Popular, Upstream}, 100);
     BOOST_TEST(Evidence.answered(Popular, 101));
     Evidence.ended({Popular, 3}, 102);
-    BOOST_TEST(!Evidence.convicted(Popular, 102));
+    BOOST_TEST(!Evidence.shouldQuarantine(Popular, 102));
   }
   BOOST_TEST_CONTEXT("but not for ever") {
     for (uint64_t Upstream = 4; Upstream <= 6; ++Upstream)
       Evidence.ended({Popular, Upstream}, 500);
-    BOOST_TEST(Evidence.convicted(Popular, 500));
+    BOOST_TEST(Evidence.shouldQuarantine(Popular, 500));
   }
 }
 
@@ -120,7 +120,7 @@
   Evidence.ended({Guilty, 1}, 0);
   Evidence.ended({Guilty, 2}, 1);
   Evidence.ended({Guilty, 3}, Hour);
-  BOOST_TEST(!Evidence.convicted(Guilty, Hour));
+  BOOST_TEST(!Evidence.shouldQuarantine(Guilty, Hour));
   BOOST_TEST(Evidence.endsUnder(Guilty, Hour).size() == 1U);
 }
 
@@ -133,8 +133,8 @@
     BOOST_REQUIRE(Evidence.size() <= 100);
   }
   Evidence.ended({Guilty, 3}, 20);
-  BOOST_TEST(Evidence.convicted(Guilty, 20));
-  BOOST_TEST(Evidence.allConvicted(20).size() == 1U);
+  BOOST_TEST(Evidence.shouldQuarantine(Guilty, 20));
+  BOOST_TEST(Evidence.requestsToQuarantine(20).size() == 1U);
 }
 
 // A third of 860 upstreams end at once before 410 gateways with 5,000 requests
@@ -142,7 +142,7 @@
 BOOST_AUTO_TEST_CASE(are_found_when_a_third_of_the_fleet_ends_at_once) {
   constexpr uint64_t GatewayCount = 410;
   constexpr uint64_t UnderEach = 8;
-  quarantine_keeper Keeper;
+  quarantine_manager Keeper;
   agreed_quarantine Control;
   for (uint64_t Gateway = 0; Gateway < GatewayCount; ++Gateway) {
     std::vector<crash_report> Reports;
@@ -163,7 +163,7 @@
 BOOST_AUTO_TEST_SUITE(quarantine)
 
 BOOST_AUTO_TEST_CASE(joins_what_different_gateways_saw) {
-  quarantine_keeper Keeper;
+  quarantine_manager Keeper;
   agreed_quarantine Control;
   for (uint64_t Gateway = 1; Gateway <= 3; ++Gateway) {
     BOOST_TEST(Control.agree(Keeper, double(Gateway)) == 0U);
@@ -179,7 +179,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(is_left_by_what_some_gateway_answered) {
-  quarantine_keeper Keeper;
+  quarantine_manager Keeper;
   agreed_quarantine Control;
   Keeper.heard(newsOf({{Popular, 1}, {Popular, 2}, {Popular, 3}}), 1);
   Control.agree(Keeper, 1);
@@ -195,7 +195,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(is_left_by_an_operators_word_and_by_time) {
-  quarantine_keeper Keeper;
+  quarantine_manager Keeper;
   agreed_quarantine Control;
   auto Convict = [&](double Now) {
     Keeper.heard(newsOf({{Guilty, 1}, {Guilty, 2}, {Guilty, 3}}), Now);
@@ -232,15 +232,15 @@
 }
 
 BOOST_AUTO_TEST_CASE(keeps_the_newest_when_it_is_full) {
-  quarantine_book Book;
-  for (uint64_t I = 0; I < 2 * quarantine_book::MostRequests; ++I) {
+  quarantine_store Book;
+  for (uint64_t I = 0; I < 2 * quarantine_store::MostRequests; ++I) {
     wire::quarantine_change Change;
     fillName(stranger(I), *Change.mutable_add()->mutable_request());
     BOOST_TEST(Book.apply(Change, 0));
   }
-  BOOST_TEST(Book.all().size() == quarantine_book::MostRequests);
+  BOOST_TEST(Book.all().size() == quarantine_store::MostRequests);
   BOOST_TEST(!Book.contains(stranger(0)));
-  BOOST_TEST(Book.contains(stranger(2 * quarantine_book::MostRequests - 1)));
+  BOOST_TEST(Book.contains(stranger(2 * quarantine_store::MostRequests - 1)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
@@ -258,7 +258,7 @@
             .Address = "127.0.0.1:1"};
   }
   void endsUnder(const short_digest &Request, uint64_t Place) {
-    Watch.brokeOff(upstreamAt(Place), Request);
+    Watch.recordInterruptedRequest(upstreamAt(Place), Request);
     Watch.ended(upstreamAt(Place), "test");
   }
   struct ev_loop *Loop = ev_default_loop(0);
@@ -283,7 +283,7 @@
   watched_world World;
   for (uint64_t Place = 1; Place <= 3; ++Place) {
     World.Watch.ended(World.upstreamAt(Place), "test");
-    World.Watch.brokeOff(World.upstreamAt(Place), Guilty);
+    World.Watch.recordInterruptedRequest(World.upstreamAt(Place), Guilty);
   }
   BOOST_TEST(World.Reports.refuses(Guilty));
 }
@@ -291,7 +291,7 @@
 BOOST_AUTO_TEST_CASE(are_not_supposed_of_those_that_answer_on) {
   watched_world World;
   for (uint64_t Place = 1; Place <= 5; ++Place) {
-    World.Watch.brokeOff(World.upstreamAt(Place), Guilty);
+    World.Watch.recordInterruptedRequest(World.upstreamAt(Place), Guilty);
     World.Watch.answers(Place, steadySeconds() + 1);
     World.Watch.ended(World.upstreamAt(Place), "test");
   }
@@ -305,7 +305,7 @@
   BOOST_TEST(World.Reports.refuses(Guilty));
   BOOST_TEST_CONTEXT("and those of the own are told on, not those heard") {
     wire::crash_news Told;
-    World.Reports.fillNew(Told);
+    World.Reports.fillRecent(Told);
     BOOST_REQUIRE(Told.crashes_size() == 1);
     BOOST_TEST(Told.crashes(0).upstream() == 1U);
     wire::crash_news ToControl;
--- a/tests/unit/decisions_test.cpp
+++ b/tests/unit/decisions_test.cpp
@@ -40,7 +40,7 @@
   retry_budget Retries;
   int Retried = 0;
   for (int I = 0; I < 1000; ++I) {
-    Retries.requestSeen();
+    Retries.recordRequest();
     Retried += Retries.take() ? 1 : 0;
   }
   BOOST_TEST(Retried <= 106);
@@ -97,11 +97,11 @@
 BOOST_AUTO_TEST_CASE(the_first_listed_version_begins_where_nothing_is_known) {
   std::mt19937_64 Random(1);
   estimates None;
-  prepared_choices Prepared;
-  choice_question Question{.Template = "t",
-                           .Account = "a",
-                           .QualityTarget = 0.9,
-                           .Policy = cheapest_policy{.ExploreShare = 0}};
+  choice_cache Prepared;
+  choice_input Question{.Template = "t",
+                        .Account = "a",
+                        .QualityTarget = 0.9,
+                        .Policy = cheapest_policy{.ExploreShare = 0}};
   Question.Candidates = {{.Name = {"middle", "1"}, .PriorCost = 4},
                          {.Name = {"cheap", "1"}, .PriorCost = 1},
                          {.Name = {"dear", "1"}, .PriorCost = 9}};
@@ -115,10 +115,10 @@
 BOOST_AUTO_TEST_CASE(a_prepared_choice_lasts_until_the_estimates_change) {
   std::mt19937_64 Random(1);
   estimates Estimates;
-  prepared_choices Prepared;
-  choice_question Question{.Template = "t",
-                           .Account = "a",
-                           .Policy = cheapest_policy{.ExploreShare = 0}};
+  choice_cache Prepared;
+  choice_input Question{.Template = "t",
+                        .Account = "a",
+                        .Policy = cheapest_policy{.ExploreShare = 0}};
   Question.Candidates = {{.Name = {"cheap", "1"}, .PriorCost = 1},
                          {.Name = {"dear", "1"}, .PriorCost = 9}};
   auto Chosen = [&] {
@@ -141,18 +141,18 @@
 }
 
 BOOST_AUTO_TEST_CASE(load_is_news_when_it_has_moved_far) {
-  BOOST_TEST(!isNews({4, 0}, {11, 0}, 16));
-  BOOST_TEST(isNews({4, 0}, {12, 0}, 16));
-  BOOST_TEST(isNews({16, 0}, {16, 1}, 16));
-  BOOST_TEST(isNews({16, 3}, {16, 0}, 16));
-  BOOST_TEST(!isNews({16, 3}, {16, 5}, 16));
+  BOOST_TEST(!isReportDue({4, 0}, {11, 0}, 16));
+  BOOST_TEST(isReportDue({4, 0}, {12, 0}, 16));
+  BOOST_TEST(isReportDue({16, 0}, {16, 1}, 16));
+  BOOST_TEST(isReportDue({16, 3}, {16, 0}, 16));
+  BOOST_TEST(!isReportDue({16, 3}, {16, 5}, 16));
 }
 
 BOOST_AUTO_TEST_CASE(a_rolling_version_runs_only_within_its_allowance) {
   std::mt19937_64 Random(1);
   estimates None;
-  prepared_choices Prepared;
-  choice_question Question{.Policy = cheapest_policy{}};
+  choice_cache Prepared;
+  choice_input Question{.Policy = cheapest_policy{}};
   Question.Candidates = {{.Name = {"m", "1"}},
                          {.Name = {"m", "2"}, .Rolling = true}};
   for (int I = 0; I < 200; ++I)
--- a/tests/unit/evacuation_test.cpp
+++ b/tests/unit/evacuation_test.cpp
@@ -69,7 +69,7 @@
 BOOST_AUTO_TEST_CASE(are_bounded_in_number) {
   state_machine State;
   uint64_t Index = 0;
-  for (size_t I = 0; I < evacuation_book::MostHalls; ++I)
+  for (size_t I = 0; I < evacuation_store::MaxHalls; ++I)
     State.apply(++Index, orderText("hall-" + std::to_string(I), false));
   absl::Status Refused = State.apply(++Index, orderText("more", false)).Status;
   BOOST_TEST((kindOf(Refused) == error_kind::Conflict));
@@ -96,7 +96,7 @@
       {listedIn("a", "lac"), listedIn("b", "charguia"), listedIn("c", "lac")},
       1);
   for (const auto &Each : Table.ofService("s"))
-    BOOST_TEST(Each->takesNew(1) == (Each->Listed.DataHall != "lac"));
+    BOOST_TEST(Each->acceptsRequests(1) == (Each->Listed.DataHall != "lac"));
   BOOST_TEST(!Table.allEvacuated("s"));
   BOOST_TEST_CONTEXT("and say which were restored") {
     BOOST_TEST(Table.setEvacuated({"charguia"}).size() == 2U);
