--- a/tests/unit/gateway_test.cpp
+++ b/tests/unit/gateway_test.cpp
@@ -109,11 +109,12 @@
   Fewer.pop_back();
   std::set<size_t> Used;
   for (uint64_t Key = 0; Key < 200; ++Key) {
-    prompt_view Prompt{.Seconds = 0.3, .SharedSeconds = 0.2, .SharedKey = Key};
-    size_t Place = *chooseSoonest(All, Prompt, Random);
-    BOOST_TEST(*chooseSoonest(All, Prompt, Random) == Place);
+    prompt_view Prompt{
+        .Seconds = 0.3, .SharedPrefillSeconds = 0.2, .SharedPrefixKey = Key};
+    size_t Place = *chooseEarliestFirstToken(All, Prompt, Random);
+    BOOST_TEST(*chooseEarliestFirstToken(All, Prompt, Random) == Place);
     if (Place < Fewer.size())
-      BOOST_TEST(*chooseSoonest(Fewer, Prompt, Random) == Place);
+      BOOST_TEST(*chooseEarliestFirstToken(Fewer, Prompt, Random) == Place);
     Used.insert(Place);
   }
   BOOST_TEST(Used.size() == All.size());
@@ -122,16 +123,17 @@
 BOOST_AUTO_TEST_CASE(gives_a_shared_part_away_rather_than_let_it_wait) {
   std::mt19937_64 Random(1);
   auto Views = views({1, 1, 1}, 0.3);
-  prompt_view Prompt{.Seconds = 0.3, .SharedSeconds = 0.2, .SharedKey = 5};
-  size_t Home = *chooseSoonest(Views, Prompt, Random);
-  Views[Home].PromptSeconds = 1;
-  BOOST_TEST(*chooseSoonest(Views, Prompt, Random) != Home);
-  Views[Home].PromptSeconds = 0;
+  prompt_view Prompt{
+      .Seconds = 0.3, .SharedPrefillSeconds = 0.2, .SharedPrefixKey = 5};
+  size_t Home = *chooseEarliestFirstToken(Views, Prompt, Random);
+  Views[Home].PrefillSeconds = 1;
+  BOOST_TEST(*chooseEarliestFirstToken(Views, Prompt, Random) != Home);
+  Views[Home].PrefillSeconds = 0;
   Views[Home].Suspect = true;
-  BOOST_TEST(*chooseSoonest(Views, Prompt, Random) != Home);
+  BOOST_TEST(*chooseEarliestFirstToken(Views, Prompt, Random) != Home);
   Views[Home].Suspect = false;
   Views[Home].Load = Views[Home].Slots; // Full.
-  BOOST_TEST(*chooseSoonest(Views, Prompt, Random) != Home);
+  BOOST_TEST(*chooseEarliestFirstToken(Views, Prompt, Random) != Home);
 }
 
 BOOST_AUTO_TEST_CASE(stays_in_the_own_data_hall_while_it_costs_little) {
@@ -140,26 +142,26 @@
   Views[1].SameHall = true;
   prompt_view Prompt{.Seconds = 0.1};
   for (int I = 0; I < 50; ++I)
-    BOOST_TEST(*chooseSoonest(Views, Prompt, Random) == 1U);
-  Views[1].PromptSeconds = 0.2;
-  BOOST_TEST(*chooseSoonest(Views, Prompt, Random) != 1U);
+    BOOST_TEST(*chooseEarliestFirstToken(Views, Prompt, Random) == 1U);
+  Views[1].PrefillSeconds = 0.2;
+  BOOST_TEST(*chooseEarliestFirstToken(Views, Prompt, Random) != 1U);
 }
 
 BOOST_AUTO_TEST_CASE(goes_where_the_prompt_is_kept_unless_that_waits_too_long) {
   std::mt19937_64 Random(1);
   auto Views = views({1, 1, 1, 1});
-  prompt_view Prompt{.Seconds = 0.3, .SharedSeconds = 0.2};
+  prompt_view Prompt{.Seconds = 0.3, .SharedPrefillSeconds = 0.2};
   for (uint64_t Key = 0; Key < 50; ++Key) {
-    Prompt.SharedKey = Key;
+    Prompt.SharedPrefixKey = Key;
     for (upstream_view &View : Views)
       View.ReadSeconds = 0.3;
     Views[2].ReadSeconds = 0.1;
-    Views[2].PromptSeconds = 0.3;
-    BOOST_TEST(*chooseSoonest(Views, Prompt, Random) == 2U);
-    Views[2].PromptSeconds = 1;
-    BOOST_TEST(*chooseSoonest(Views, Prompt, Random) != 2U);
+    Views[2].PrefillSeconds = 0.3;
+    BOOST_TEST(*chooseEarliestFirstToken(Views, Prompt, Random) == 2U);
+    Views[2].PrefillSeconds = 1;
+    BOOST_TEST(*chooseEarliestFirstToken(Views, Prompt, Random) != 2U);
   }
-  BOOST_TEST(!chooseSoonest({}, {}, Random).has_value());
+  BOOST_TEST(!chooseEarliestFirstToken({}, {}, Random).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(
@@ -169,10 +171,11 @@
   // All keep the first level; none the second, which the key names.
   for (upstream_view &View : Views)
     View.ReadSeconds = 0.2;
-  prompt_view Prompt{.Seconds = 0.3, .SharedSeconds = 0.25, .SharedKey = 7};
-  size_t Place = *chooseSoonest(Views, Prompt, Random);
+  prompt_view Prompt{
+      .Seconds = 0.3, .SharedPrefillSeconds = 0.25, .SharedPrefixKey = 7};
+  size_t Place = *chooseEarliestFirstToken(Views, Prompt, Random);
   for (int I = 0; I < 50; ++I)
-    BOOST_TEST(*chooseSoonest(Views, Prompt, Random) == Place);
+    BOOST_TEST(*chooseEarliestFirstToken(Views, Prompt, Random) == Place);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
@@ -180,49 +183,50 @@
 BOOST_AUTO_TEST_SUITE(work_of_prompts)
 
 BOOST_AUTO_TEST_CASE(learns_the_pace_of_a_model_from_those_that_did_not_wait) {
-  prompt_pace Pace;
+  prefill_estimator Pace;
   constexpr uint32_t Tokens = 10000;
-  BOOST_TEST(Pace.secondsFor("large", 10, Tokens) >
-             5 * Pace.secondsFor("small", 1, Tokens));
+  BOOST_TEST(Pace.estimateSeconds("large", 10, Tokens) >
+             5 * Pace.estimateSeconds("small", 1, Tokens));
   std::mt19937_64 Random(3);
   constexpr double Real = 0.4;
   for (int I = 0; I < 2000; ++I) {
     bool Waited = Random() % 10 < 7;
-    Pace.firstToken("large", 10, Tokens, 0, 0.05 + (Waited ? 5 * Real : Real));
+    Pace.recordFirstToken("large", 10, Tokens, 0,
+                          0.05 + (Waited ? 5 * Real : Real));
   }
-  BOOST_TEST(Pace.secondsFor("large", 10, Tokens) > 0.8 * Real);
-  BOOST_TEST(Pace.secondsFor("large", 10, Tokens) < 1.3 * Real);
+  BOOST_TEST(Pace.estimateSeconds("large", 10, Tokens) > 0.8 * Real);
+  BOOST_TEST(Pace.estimateSeconds("large", 10, Tokens) < 1.3 * Real);
   // Reading takes longer than in proportion.
-  BOOST_TEST(Pace.secondsFor("large", 10, 2 * Tokens) >
-             2.1 * Pace.secondsFor("large", 10, Tokens));
+  BOOST_TEST(Pace.estimateSeconds("large", 10, 2 * Tokens) >
+             2.1 * Pace.estimateSeconds("large", 10, Tokens));
 }
 
 BOOST_AUTO_TEST_CASE(learns_a_pace_far_from_the_first_guess_in_a_few_answers) {
-  prompt_pace Pace;
+  prefill_estimator Pace;
   constexpr uint32_t Tokens = 10000;
-  double Real = 5 * Pace.secondsFor("small", 1, Tokens);
+  double Real = 5 * Pace.estimateSeconds("small", 1, Tokens);
   for (int I = 0; I < 20; ++I)
-    Pace.firstToken("small", 1, Tokens, 0, 0.05 + Real);
-  BOOST_TEST(Pace.secondsFor("small", 1, Tokens) > 0.5 * Real);
-  BOOST_TEST(Pace.secondsFor("small", 1, Tokens) < 1.5 * Real);
+    Pace.recordFirstToken("small", 1, Tokens, 0, 0.05 + Real);
+  BOOST_TEST(Pace.estimateSeconds("small", 1, Tokens) > 0.5 * Real);
+  BOOST_TEST(Pace.estimateSeconds("small", 1, Tokens) < 1.5 * Real);
 }
 
 BOOST_AUTO_TEST_CASE(takes_what_was_kept_for_no_sign_of_a_fast_model) {
-  prompt_pace Pace;
-  double Before = Pace.secondsFor("small", 1, 10000);
-  double Rest = Pace.secondsFor("small", 1, 10000, 8000);
+  prefill_estimator Pace;
+  double Before = Pace.estimateSeconds("small", 1, 10000);
+  double Rest = Pace.estimateSeconds("small", 1, 10000, 8000);
   BOOST_TEST(Rest > 0.2 * Before);
   BOOST_TEST(Rest < 0.3 * Before);
   for (int I = 0; I < 20; ++I)
-    Pace.firstToken("small", 1, 10000, 8000, 0.05 + Rest);
-  BOOST_TEST(Pace.secondsFor("small", 1, 10000) > 0.7 * Before);
-  BOOST_TEST(Pace.secondsFor("small", 1, 10000) < 1.4 * Before);
+    Pace.recordFirstToken("small", 1, 10000, 8000, 0.05 + Rest);
+  BOOST_TEST(Pace.estimateSeconds("small", 1, 10000) > 0.7 * Before);
+  BOOST_TEST(Pace.estimateSeconds("small", 1, 10000) < 1.4 * Before);
   // Too little was read to tell.
-  Before = Pace.secondsFor("small", 1, 10000);
-  Pace.firstToken("small", 1, 10000, 9900, 9);
-  Pace.firstToken("small", 1, 300, 20000, 9);
-  BOOST_TEST(Pace.secondsFor("small", 1, 10000) == Before);
-  BOOST_TEST(Pace.secondsFor("small", 1, 300, 20000) == 0);
+  Before = Pace.estimateSeconds("small", 1, 10000);
+  Pace.recordFirstToken("small", 1, 10000, 9900, 9);
+  Pace.recordFirstToken("small", 1, 300, 20000, 9);
+  BOOST_TEST(Pace.estimateSeconds("small", 1, 10000) == Before);
+  BOOST_TEST(Pace.estimateSeconds("small", 1, 300, 20000) == 0);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
@@ -233,51 +237,51 @@
 
 constexpr uint64_t Home = 1;
 constexpr uint64_t Elsewhere = 2;
-const std::vector<prompt_piece> Review = {{11, 2500}, {12, 3800}, {13, 2900}};
+const std::vector<prompt_block> Review = {{11, 2500}, {12, 3800}, {13, 2900}};
 
 } // namespace
 
 BOOST_AUTO_TEST_CASE(knows_what_was_sent_where) {
-  prompt_memory Memory;
+  prefix_cache_model Memory;
   BOOST_TEST(Memory.kept(Home, Review) == 0U);
   Memory.sent(Home, Review);
   BOOST_TEST(Memory.kept(Home, Review) == 9200U);
   BOOST_TEST(Memory.kept(Elsewhere, Review) == 0U);
   // Another session of the same subject, and another subject.
-  BOOST_TEST(Memory.kept(Home, std::vector<prompt_piece>{{11, 2500},
+  BOOST_TEST(Memory.kept(Home, std::vector<prompt_block>{{11, 2500},
                                                          {22, 3800}}) == 2500U);
   // A part is of no use without all before it.
   BOOST_TEST(Memory.kept(
-                 Home, std::vector<prompt_piece>{{31, 100}, {12, 3800}}) == 0U);
+                 Home, std::vector<prompt_block>{{31, 100}, {12, 3800}}) == 0U);
   Memory.forget(Home);
   BOOST_TEST(Memory.kept(Home, Review) == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(gives_up_what_was_longest_unused_when_there_is_no_room) {
-  prompt_memory Memory;
-  Memory.setRoom(20000);
+  prefix_cache_model Memory;
+  Memory.setCapacity(20000);
   Memory.sent(Home, Review);
   for (uint64_t Key = 100; Key < 103; ++Key) {
-    Memory.sent(Home, std::vector<prompt_piece>{{11, 2500}, {Key, 3000}});
+    Memory.sent(Home, std::vector<prompt_block>{{11, 2500}, {Key, 3000}});
   }
   // The beginning is in use all the time, the session's part is not.
   BOOST_TEST(Memory.kept(Home, Review) >= 2500U);
   BOOST_TEST(Memory.kept(Home, Review) < 9200U);
   // One prompt that fills the memory is held all the same.
-  std::vector<prompt_piece> Whole = {{55, 90000}};
+  std::vector<prompt_block> Whole = {{55, 90000}};
   Memory.sent(Home, Whole);
   BOOST_TEST(Memory.kept(Home, Whole) == 90000U);
   BOOST_TEST(Memory.kept(Home, Review) == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(takes_back_what_may_not_have_been_read) {
-  prompt_memory Memory;
+  prefix_cache_model Memory;
   Memory.sent(Home, std::span(Review).first(1));
   Memory.sent(Home, Review);
-  Memory.unsure(Home, std::span(Review).subspan(1));
+  Memory.removeBlocks(Home, std::span(Review).subspan(1));
   BOOST_TEST(Memory.kept(Home, Review) == 2500U);
-  Memory.unsure(Elsewhere, Review);
-  Memory.unsure(Home, Review);
+  Memory.removeBlocks(Elsewhere, Review);
+  Memory.removeBlocks(Home, Review);
   BOOST_TEST(Memory.kept(Home, Review) == 0U);
 }
 
@@ -300,8 +304,8 @@
 BOOST_AUTO_TEST_CASE(is_named_by_all_parts_up_to_each) {
   prompt_work Work = workOfParts("a:100,b:200,c:50", "350,20");
   BOOST_REQUIRE_EQUAL(Work.Pieces.size(), 3U);
-  BOOST_TEST(Work.Prompt.SharedKey == Work.Pieces[1].Key);
-  BOOST_TEST(Work.Prompt.SharedSeconds > 0);
+  BOOST_TEST(Work.Prompt.SharedPrefixKey == Work.Pieces[1].Key);
+  BOOST_TEST(Work.Prompt.SharedPrefillSeconds > 0);
   prompt_work Other = workOfParts("a:100,d:200,c:50", "350,20");
   BOOST_TEST(Work.Pieces[0].Key == Other.Pieces[0].Key);
   BOOST_TEST(Work.Pieces[1].Key != Other.Pieces[1].Key);
@@ -324,7 +328,7 @@
 BOOST_AUTO_TEST_SUITE(choice_of_a_model)
 
 // The largest model costs 0.12 for 1,000 tokens; upstreams are free.
-model_answer answerOf(request_size Size, double Confidence) {
+larger_model_input answerOf(request_size Size, double Confidence) {
   return {.Models = 3,
           .Confidence = Confidence,
           .Size = Size,
@@ -337,10 +341,10 @@
 constexpr request_size Summary{
     .ReadTokens = 1460, .MadeTokens = 171, .Priority = 2};
 
-bool asks(request_size Size, double Confidence, double WorthOfSecond = 0,
-          bool InTime = true) {
-  model_answer Answer = answerOf(Size, Confidence);
-  Answer.WorthOfSecond = WorthOfSecond;
+bool asks(request_size Size, double Confidence,
+          double OpportunityCostPerSecond = 0, bool InTime = true) {
+  larger_model_input Answer = answerOf(Size, Confidence);
+  Answer.OpportunityCostPerSecond = OpportunityCostPerSecond;
   Answer.InTime = InTime;
   return largerModel(Answer).has_value();
 }
@@ -348,7 +352,7 @@
 BOOST_AUTO_TEST_CASE(asks_the_largest_when_the_smallest_doubts_itself) {
   BOOST_TEST(firstModel(3) == 0U);
   for (request_size Size : {Appraisal, Summary}) {
-    model_answer Answer = answerOf(Size, 0.2);
+    larger_model_input Answer = answerOf(Size, 0.2);
     BOOST_TEST(largerModel(Answer).value() == 2U);
     Answer.Confidence = 0.8;
     BOOST_TEST(!largerModel(Answer).has_value());
@@ -356,8 +360,8 @@
     Answer.Place = 2;
     BOOST_TEST(!largerModel(Answer).has_value());
   }
-  BOOST_TEST(poorChance(0) == 1);
-  BOOST_TEST(poorChance(1) == 0);
+  BOOST_TEST(poorAnswerProbability(0) == 1);
+  BOOST_TEST(poorAnswerProbability(1) == 0);
 }
 
 BOOST_AUTO_TEST_CASE(weighs_what_an_answer_is_worth_with_what_it_costs) {
@@ -366,21 +370,21 @@
   BOOST_TEST(asks(Appraisal, 0.55));
   BOOST_TEST(!asks(Appraisal, 0.65));
   BOOST_TEST(asks(Summary, 0.55));
-  model_answer Dear = answerOf(Appraisal, 0.55);
+  larger_model_input Dear = answerOf(Appraisal, 0.55);
   Dear.LargestCost = 0.5;
   BOOST_TEST(!largerModel(Dear).has_value());
   // Less urgent, worth less.
   request_size Least = Appraisal;
   Least.Priority = 5;
   BOOST_TEST(!asks(Least, 0.55));
-  BOOST_TEST(worthOf(Appraisal) > worthOf(Least));
+  BOOST_TEST(utilityOf(Appraisal) > utilityOf(Least));
 }
 
 BOOST_AUTO_TEST_CASE(
     leaves_the_largest_to_those_in_most_doubt_when_others_are_refused) {
-  auto AsksWhile = [](double RefusedShare, double Confidence) {
-    model_answer Answer = answerOf(Appraisal, Confidence);
-    Answer.RefusedShare = RefusedShare;
+  auto AsksWhile = [](double RefusalProbability, double Confidence) {
+    larger_model_input Answer = answerOf(Appraisal, Confidence);
+    Answer.RefusalProbability = RefusalProbability;
     return largerModel(Answer).has_value();
   };
   BOOST_TEST(AsksWhile(0, 0.55));
@@ -393,14 +397,14 @@
     leaves_the_largest_to_those_in_most_doubt_when_prompts_wait) {
   constexpr double Earned = 15; // For a second of an upstream.
   constexpr double WorkSeconds = 1.65;
-  double Short = worthOfSecond(Earned, 0.3, WorkSeconds);
-  double Long = worthOfSecond(Earned, 8, WorkSeconds);
+  double Short = opportunityCostPerSecond(Earned, 0.3, WorkSeconds);
+  double Long = opportunityCostPerSecond(Earned, 8, WorkSeconds);
   BOOST_TEST(asks(Appraisal, 0.55, Short));
   BOOST_TEST(!asks(Appraisal, 0.55, Long));
   BOOST_TEST(!asks(Appraisal, 0.2, Long));
-  BOOST_TEST(worthOfSecond(Earned, 100, WorkSeconds) == Earned);
-  BOOST_TEST(worthOfSecond(Earned, 1, 0) == Earned);
-  BOOST_TEST(worthOfSecond(0, 1, WorkSeconds) == 0);
+  BOOST_TEST(opportunityCostPerSecond(Earned, 100, WorkSeconds) == Earned);
+  BOOST_TEST(opportunityCostPerSecond(Earned, 1, 0) == Earned);
+  BOOST_TEST(opportunityCostPerSecond(0, 1, WorkSeconds) == 0);
   // What would come too late is worth little.
   BOOST_TEST(!asks(Appraisal, 0.5, 0, false));
   BOOST_TEST(asks(Appraisal, 0.2, 0, false));
@@ -408,28 +412,29 @@
 
 // The same backlog is a short one where works are long.
 BOOST_AUTO_TEST_CASE(measures_a_backlog_by_the_works_of_its_fleet) {
-  work_sizes Short;
-  work_sizes Long;
-  BOOST_TEST(Short.residual() == 0);
+  processing_time_stats Short;
+  processing_time_stats Long;
+  BOOST_TEST(Short.residualSeconds() == 0);
   for (int I = 0; I < 1000; ++I) {
     Short.weighed(0.2);
     Long.weighed(2);
   }
-  BOOST_TEST(Short.residual() == 0.2, boost::test_tools::tolerance(1e-9));
+  BOOST_TEST(Short.residualSeconds() == 0.2,
+             boost::test_tools::tolerance(1e-9));
   constexpr double Earned = 15;
-  double OfShort = worthOfSecond(Earned, 1, Short.residual());
-  double OfLong = worthOfSecond(Earned, 1, Long.residual());
+  double OfShort = opportunityCostPerSecond(Earned, 1, Short.residualSeconds());
+  double OfLong = opportunityCostPerSecond(Earned, 1, Long.residualSeconds());
   BOOST_TEST(!asks(Appraisal, 0.55, OfShort));
   BOOST_TEST(asks(Appraisal, 0.55, OfLong));
   BOOST_TEST_CONTEXT("one long work among many short ones counts") {
     for (int I = 0; I < 20; ++I)
       Short.weighed(2);
-    BOOST_TEST(Short.residual() > 1);
+    BOOST_TEST(Short.residualSeconds() > 1);
   }
 }
 
 BOOST_AUTO_TEST_CASE(learns_what_a_second_of_an_upstream_earns) {
-  earnings Earnings;
+  utility_rate Earnings;
   BOOST_TEST(Earnings.perSecond() == 0);
   Earnings.earned(3, 0.5);
   BOOST_TEST(Earnings.perSecond() == 6);
@@ -464,7 +469,7 @@
 } // namespace
 
 BOOST_AUTO_TEST_CASE(adds_up_and_the_last_news_of_each_counts) {
-  work_of_others Others;
+  peer_work_totals Others;
   auto First = newsOf(1, 1);
   add(First, 7, 300, 2);
   add(First, 8, 0, 1);
@@ -473,7 +478,7 @@
   Others.heard(First, 0);
   Others.heard(Second, 0);
   BOOST_TEST(Others.at(7).InFlight == 3U);
-  BOOST_TEST(std::abs(Others.at(7).PromptSeconds - 0.5) < 1e-9);
+  BOOST_TEST(std::abs(Others.at(7).PrefillSeconds - 0.5) < 1e-9);
   auto Later = newsOf(1, 2);
   add(Later, 7, 0, 1);
   Others.heard(Later, 1);
@@ -484,7 +489,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(lost_news_are_made_good_by_the_next_whole_ones) {
-  work_of_others Others;
+  peer_work_totals Others;
   auto First = newsOf(1, 1);
   add(First, 7, 300, 2);
   Others.heard(First, 0);
@@ -496,7 +501,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(of_a_silent_gateway_is_forgotten) {
-  work_of_others Others;
+  peer_work_totals Others;
   auto First = newsOf(1, 1);
   add(First, 7, 300, 2);
   Others.heard(First, 0);
@@ -506,7 +511,7 @@
   Others.forgetSilent(4.5);
   BOOST_TEST(Others.gateways() == 1U);
   BOOST_TEST(Others.at(7).InFlight == 1U);
-  BOOST_TEST(std::abs(Others.at(7).PromptSeconds - 0.1) < 1e-9);
+  BOOST_TEST(std::abs(Others.at(7).PrefillSeconds - 0.1) < 1e-9);
 }
 
 // What an upstream tells one gateway the others know a moment later.
@@ -522,8 +527,8 @@
     BOOST_REQUIRE(Hears.bind());
     Tells.setGateways({Hears.address()});
     Hears.setGateways({Tells.address()});
-    BOOST_TEST(Tells.hearsAll(2));
-    BOOST_TEST(!Tells.hearsAll(3));
+    BOOST_TEST(Tells.receivesFromAll(2));
+    BOOST_TEST(!Tells.receivesFromAll(3));
     std::map<uint64_t, uint32_t> Heard;
     Hears.OnLoad = [&](uint64_t Place, uint32_t Load) { Heard[Place] = Load; };
     Tells.heardLoad(Full, 0);
@@ -561,7 +566,7 @@
   auto Left = Table.update({listed("i-1"), listed("i-3")}, 0);
   BOOST_REQUIRE(Left.size() == 1U);
   BOOST_TEST(Left[0]->Gone);
-  BOOST_TEST(!Left[0]->takesNew(0));
+  BOOST_TEST(!Left[0]->acceptsRequests(0));
   BOOST_TEST(Table.all().at("i-1")->InFlight == 3U);
   // Every gateway has the upstreams in the same order.
   upstream_table Other;
@@ -580,18 +585,18 @@
     Listed.push_back(listed("i-" + std::to_string(I)));
   Table.update(Listed, 0);
   auto First = Table.all().at("i-0");
-  BOOST_TEST(Table.doubt(First->Place, 10));
+  BOOST_TEST(Table.presumeCrashed(First->Place, 10));
   BOOST_TEST(First->suspect(10.5));
-  BOOST_TEST(First->takesNew(0));
+  BOOST_TEST(First->acceptsRequests(0));
   BOOST_TEST(!First->suspect(20));
-  BOOST_TEST(Table.doubt(First->Place, 20));
+  BOOST_TEST(Table.presumeCrashed(First->Place, 20));
   First->answered();
   BOOST_TEST(!First->suspect(20.1));
-  BOOST_TEST(!Table.doubt(12345, 30)); // Of another list.
+  BOOST_TEST(!Table.presumeCrashed(12345, 30)); // Of another list.
 
   // Whoever says it of all is wrong, or no better is to be had.
   for (const auto &Each : Table.ofService("llm"))
-    Table.doubt(Each->Place, 40);
+    Table.presumeCrashed(Each->Place, 40);
   auto Suspects = std::count_if(
       Table.ofService("llm").begin(), Table.ofService("llm").end(),
       [](const auto &Each) { return Each->suspect(41); });
@@ -622,8 +627,8 @@
   BOOST_TEST((Left[0] == First));
   BOOST_TEST(First->Gone);
   auto Second = Table.all().at("i-1");
-  BOOST_TEST(Second->takesNew(0));
-  BOOST_TEST(!Second->unproven(0.1));
+  BOOST_TEST(Second->acceptsRequests(0));
+  BOOST_TEST(!Second->unrecovered(0.1));
   BOOST_TEST(Second->load(0.1) == 0);
   // Memory and told work go by the place.
   BOOST_TEST(Second->Place != First->Place);
@@ -633,7 +638,7 @@
   // A list from before changes nothing back, also where it says that it leaves.
   BOOST_TEST(Table.update({Started(1000, true)}, 0).empty());
   BOOST_TEST((Table.all().at("i-1") == Second));
-  BOOST_TEST(Second->takesNew(0));
+  BOOST_TEST(Second->acceptsRequests(0));
   // Gateways that hear of it first now agree on its place.
   upstream_table Other;
   Other.update({Started(2000)}, 0);
@@ -647,26 +652,26 @@
   const std::string &Service = First->Listed.Service;
   First->rest(3, 10);
   First->rest(1, 11); // The longer one holds.
-  BOOST_TEST(!First->takesNew(12.9));
-  BOOST_TEST(First->takesNew(13));
+  BOOST_TEST(!First->acceptsRequests(12.9));
+  BOOST_TEST(First->acceptsRequests(13));
   BOOST_TEST_CONTEXT("and does not take them for failed") {
     BOOST_TEST(!First->suspect(11));
-    BOOST_TEST(!First->unproven(11));
+    BOOST_TEST(!First->unrecovered(11));
   }
   BOOST_TEST_CONTEXT("nor loses them to an absurd time") {
     First->rest(31536000, 20);
-    BOOST_TEST(!First->takesNew(21));
-    BOOST_TEST(First->takesNew(20 + 60));
+    BOOST_TEST(!First->acceptsRequests(21));
+    BOOST_TEST(First->acceptsRequests(20 + 60));
   }
   BOOST_TEST_CONTEXT("and knows when the first takes work again") {
-    BOOST_TEST(Table.soonestRest(Service, 30) == 0);
+    BOOST_TEST(Table.soonestBackoffEnd(Service, 30) == 0);
     auto Second = Table.all().at("i-2");
     Second->rest(5, 30);
-    BOOST_TEST(Table.soonestRest(Service, 31) == 4);
+    BOOST_TEST(Table.soonestBackoffEnd(Service, 31) == 4);
     Second->leave();
-    BOOST_TEST(Table.soonestRest(Service, 31) == 49);
+    BOOST_TEST(Table.soonestBackoffEnd(Service, 31) == 49);
     First->leave();
-    BOOST_TEST(Table.soonestRest(Service, 31) == 0);
+    BOOST_TEST(Table.soonestBackoffEnd(Service, 31) == 0);
   }
   BOOST_TEST_CONTEXT("also those that a later list names again") {
     Table.update({listed("i-1"), listed("i-2")}, 0);
@@ -692,8 +697,8 @@
   Upstream.heardLoad(4000000000U, 40, 0);
   BOOST_TEST(Upstream.load(40.1) < 100);
   Upstream.heardLoad(12, 30, 5);
-  BOOST_TEST(Upstream.loadKnown(31));
-  BOOST_TEST(!Upstream.loadKnown(33));
+  BOOST_TEST(Upstream.hasFreshLoad(31));
+  BOOST_TEST(!Upstream.hasFreshLoad(33));
 }
 
 BOOST_AUTO_TEST_CASE(pauses_one_that_fails_longer_each_time) {
@@ -717,7 +722,7 @@
   Upstreams.update({listed("i-1"), listed("i-2", "v2")}, 0);
   software_versions Versions;
   Versions.take(noticeOf(wire::CANARY), Upstreams);
-  BOOST_TEST(Upstreams.settledVersion("llm") == "v1");
+  BOOST_TEST(Upstreams.stableVersion("llm") == "v1");
   int Tried = 0;
   for (uint64_t Draw = 0; Draw < 1'000'000; Draw += 997) {
     BOOST_TEST(Versions.versionFor("llm", "v1", "v1", Draw) == "v1");
@@ -735,11 +740,11 @@
   Versions.take(noticeOf(wire::SHIFT), Upstreams);
   BOOST_TEST(Versions.versionFor("llm", "v1", "v1", 1) == "v2");
   Versions.take(noticeOf(wire::COMPLETED), Upstreams);
-  BOOST_TEST(Upstreams.settledVersion("llm") == "v2");
+  BOOST_TEST(Upstreams.stableVersion("llm") == "v2");
   Versions.take(noticeOf(wire::REVERTED), Upstreams);
-  BOOST_TEST(Upstreams.settledVersion("llm") == "v1");
+  BOOST_TEST(Upstreams.stableVersion("llm") == "v1");
   BOOST_TEST(Versions.versionFor("llm", "v1", "v2", 1) == "v1");
-  BOOST_TEST(Versions.barred("llm") == "v2");
+  BOOST_TEST(Versions.revertedVersion("llm") == "v2");
 }
 
 BOOST_AUTO_TEST_CASE(tallies_are_told_by_version) {
@@ -775,9 +780,9 @@
   Pins.setLifetime(10);
   Pins.stay(7, 0);
   Pins.stay(7, 1);
-  Pins.heardStaying(8, 1);
-  BOOST_TEST(Pins.takeUntold().size() == 1U);
-  BOOST_TEST(Pins.takeUntold().empty());
+  Pins.applyStablePin(8, 1);
+  BOOST_TEST(Pins.takeUnreportedPins().size() == 1U);
+  BOOST_TEST(Pins.takeUnreportedPins().empty());
   BOOST_TEST(Pins.stays(7, 10.5));
   BOOST_TEST(Pins.stays(8, 10.5));
   BOOST_TEST(!Pins.stays(7, 12));
--- a/tests/unit/http_test.cpp
+++ b/tests/unit/http_test.cpp
@@ -149,8 +149,8 @@
   BOOST_TEST(Facts.Key == "secret");
   BOOST_REQUIRE(Facts.Model.has_value());
   BOOST_TEST(Facts.Model->PromptTokens == 1460U);
-  BOOST_TEST(Facts.Model->MostOutputTokens == 80U);
-  BOOST_TEST(*Facts.Model->LikelyOutputTokens == 70U);
+  BOOST_TEST(Facts.Model->MaxOutputTokens == 80U);
+  BOOST_TEST(*Facts.Model->OutputTokensHint == 70U);
   BOOST_REQUIRE(Facts.Model->Parts.size() == 3U);
   BOOST_TEST(Facts.Model->Parts[0].Id == 0x5c1e07a2U);
   BOOST_TEST(Facts.Model->Parts[2].Tokens == 250U);
@@ -164,7 +164,7 @@
                                                  .Model = "large",
                                                  .LastEvent = "12",
                                                  .Priority = 1,
-                                                 .TellPriority = true},
+                                                 .SendPriority = true},
                                                 5);
   http_head Head = headOf(Text + "abcde");
   auto Is = [&](const char *Name, const char *Value) {
@@ -242,7 +242,7 @@
     BOOST_TEST_CONTEXT(Case.Lines) {
       auto Told = Facts("503 Busy", Case.Lines);
       BOOST_TEST(Told.RestSeconds.value_or(-1) == Case.Seconds);
-      BOOST_TEST(Told.OddRest == Case.Odd);
+      BOOST_TEST(Told.MalformedRetryAfter == Case.Odd);
     }
   BOOST_TEST(!Facts("200 OK", "Retry-After: 3\r\n").RestSeconds);
   BOOST_TEST(!Facts("421 Other", "Retry-After: 3\r\n").RestSeconds);
@@ -389,7 +389,7 @@
   };
   for (const pair_case &Case : Cases)
     BOOST_TEST_CONTEXT(Case.What) {
-      auto Kept = platform::oneOfEach({Case.First, Case.Second});
+      auto Kept = platform::deduplicateById({Case.First, Case.Second});
       BOOST_REQUIRE(Kept.size() == 1U);
       BOOST_TEST(Kept[0].Address == Case.Kept);
     }
--- a/tests/unit/leases_test.cpp
+++ b/tests/unit/leases_test.cpp
@@ -21,7 +21,7 @@
 BOOST_AUTO_TEST_CASE(follows_deltas_and_never_goes_back) {
   catalog Config = smallCatalog();
   wire::grant Old = grantOf(Config, 0, 10);
-  node_copy Copy;
+  config_replica Copy;
   BOOST_TEST(Copy.take(Old, 10.1));
   BOOST_TEST(Copy.config().index() == 5U);
   BOOST_TEST(Copy.hasLease(15));
@@ -44,7 +44,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(gets_no_lease_from_a_grant_that_was_long_on_the_way) {
-  node_copy Copy;
+  config_replica Copy;
   Copy.take(grantOf(smallCatalog(), 0, 10), 30);
   BOOST_TEST(!Copy.hasLease(30));
 }
@@ -79,7 +79,7 @@
   // The silent one holds the change up until its lease has surely ended.
   Table.poll(Now + LeaseSeconds * 0.99);
   BOOST_TEST(Took < 0);
-  Table.poll(Now + LeaseSeconds * (1 + 2 * DriftShare));
+  Table.poll(Now + LeaseSeconds * (1 + 2 * MaxClockDrift));
   BOOST_TEST(Took > LeaseSeconds);
 }
 
--- a/tests/unit/load_test.cpp
+++ b/tests/unit/load_test.cpp
@@ -51,7 +51,7 @@
 struct played_upstream {
   std::string Id;
   double FreeAt = 0;
-  prompt_memory Kept; ///< What it really keeps.
+  prefix_cache_model Kept; ///< What it really keeps.
 };
 
 class played_load {
@@ -87,7 +87,7 @@
     return Sum / double(Upstreams.size());
   }
 
-  size_t choose(size_t Model, const std::vector<prompt_piece> &Pieces) {
+  size_t choose(size_t Model, const std::vector<prompt_block> &Pieces) {
     std::vector<upstream_view> Views;
     double Whole = paceOf(Model) * (SharedTokens + OwnTokens);
     for (size_t I = 0; I < Upstreams.size(); ++I) {
@@ -95,20 +95,20 @@
       Views.push_back({.Id = Upstreams[I].Id,
                        .Slots = 64,
                        .SameHall = true,
-                       .PromptSeconds = waitAt(I),
+                       .PrefillSeconds = waitAt(I),
                        .ReadSeconds = Whole - paceOf(Model) * Kept});
     }
     prompt_view Prompt{.Seconds = Whole};
     if (Options.KnowsMemory) {
-      Prompt.SharedSeconds = paceOf(Model) * SharedTokens;
-      Prompt.SharedKey = Pieces.front().Key;
+      Prompt.SharedPrefillSeconds = paceOf(Model) * SharedTokens;
+      Prompt.SharedPrefixKey = Pieces.front().Key;
     }
-    return *chooseSoonest(Views, Prompt, Random);
+    return *chooseEarliestFirstToken(Views, Prompt, Random);
   }
 
   /// Returns when the first token comes.
   double send(size_t Place, size_t Model,
-              const std::vector<prompt_piece> &Pieces) {
+              const std::vector<prompt_block> &Pieces) {
     played_upstream &Upstream = Upstreams[Place];
     uint32_t Tokens = SharedTokens + OwnTokens - Upstream.Kept.kept(0, Pieces);
     Result.Read += Tokens;
@@ -118,7 +118,7 @@
     return Upstream.FreeAt;
   }
 
-  std::vector<prompt_piece> piecesFor(size_t Model, uint64_t Subject) {
+  std::vector<prompt_block> piecesFor(size_t Model, uint64_t Subject) {
     uint64_t Key = (Subject + 1) * 2 + Model;
     return {{.Key = Key, .Tokens = SharedTokens},
             {.Key = ++Owns << 20, .Tokens = OwnTokens}};
@@ -135,7 +135,7 @@
     request_size Size{.ReadTokens = SharedTokens + OwnTokens,
                       .MadeTokens = MadeTokens,
                       .Priority = 1};
-    Earnings.earned(worthOf(Size), SmallPace * (SharedTokens + OwnTokens));
+    Earnings.earned(utilityOf(Size), SmallPace * (SharedTokens + OwnTokens));
     // The larger model is weighed when the first one's token comes; nothing
     // that arrives until then is left out by looking at it now.
     Pieces = piecesFor(Large, Subject);
@@ -144,17 +144,17 @@
         paceOf(Large) * (SharedTokens + OwnTokens - Memory.kept(Place, Pieces));
     double Backlog = Options.HeedsBacklog ? meanBacklog() : 0;
     Works.weighed(Read);
-    auto Larger =
-        largerModel({.Models = 2,
-                     .Place = Small,
-                     .Confidence = std::clamp(Noise(Random), 0.0, 1.0),
-                     .Size = Size,
-                     .LargestCost = LargeCost,
-                     .LargestSeconds = Read,
-                     .WorthOfSecond = worthOfSecond(Earnings.perSecond(),
-                                                    Backlog, Works.residual()),
-                     .InTime = !Options.HeedsBacklog ||
-                               waitAt(Place) + Read < TargetSeconds});
+    auto Larger = largerModel(
+        {.Models = 2,
+         .Place = Small,
+         .Confidence = std::clamp(Noise(Random), 0.0, 1.0),
+         .Size = Size,
+         .LargestCost = LargeCost,
+         .LargestSeconds = Read,
+         .OpportunityCostPerSecond = opportunityCostPerSecond(
+             Earnings.perSecond(), Backlog, Works.residualSeconds()),
+         .InTime =
+             !Options.HeedsBacklog || waitAt(Place) + Read < TargetSeconds});
     if (Larger)
       First = std::max(First, send(Place, Large, Pieces));
     bool InTime = First < Now + TargetSeconds;
@@ -164,9 +164,9 @@
 
   load_options Options;
   std::vector<played_upstream> Upstreams;
-  prompt_memory Memory; ///< What the gateway knows.
-  earnings Earnings;
-  work_sizes Works;
+  prefix_cache_model Memory; ///< What the gateway knows.
+  utility_rate Earnings;
+  processing_time_stats Works;
   std::mt19937_64 Random{11};
   double Now = 0;
   uint64_t Owns = 0;
--- a/tests/unit/placement_test.cpp
+++ b/tests/unit/placement_test.cpp
@@ -13,8 +13,8 @@
 const version_name V3{"m", "3"};
 
 /// Replicas in three data halls with room for two versions each.
-placement_question fleet(size_t Replicas) {
-  placement_question Question;
+placement_input fleet(size_t Replicas) {
+  placement_input Question;
   for (size_t I = 0; I < Replicas; ++I)
     Question.Replicas.push_back({.Name = "r" + std::to_string(I),
                                  .DataHall = "hall-" + std::to_string(I % 3),
@@ -23,14 +23,14 @@
   return Question;
 }
 
-size_t copies(const placement_question &Question, const version_name &Name) {
+size_t copies(const placement_input &Question, const version_name &Name) {
   size_t Count = 0;
   for (const placed_replica &R : Question.Replicas)
     Count += R.Usable && R.Assigned.contains(Name) ? 1 : 0;
   return Count;
 }
 
-size_t loading(const placement_question &Question) {
+size_t loading(const placement_input &Question) {
   size_t Count = 0;
   for (const placed_replica &R : Question.Replicas)
     for (const version_name &Name : R.Assigned)
@@ -40,13 +40,13 @@
 
 /// Takes steps, and loads what is assigned when there is none to take, until
 /// nothing changes any more. Returns the steps it took.
-size_t settle(placement_question &Question) {
+size_t settle(placement_input &Question) {
   for (size_t Steps = 0; Steps < 200;) {
     if (auto Step = nextPlacement(Question)) {
       ++Steps;
       Question.Replicas[Step->Replica].Assigned = Step->Assigned;
       BOOST_TEST(Step->Assigned.size() <= 2);
-      BOOST_TEST(loading(Question) <= Question.LoadsAtOnce);
+      BOOST_TEST(loading(Question) <= Question.MaxConcurrentLoads);
       continue;
     }
     if (loading(Question) == 0)
@@ -63,7 +63,7 @@
 BOOST_AUTO_TEST_SUITE(placing_versions)
 
 BOOST_AUTO_TEST_CASE(gives_room_by_demand_and_two_copies_to_each) {
-  placement_question Question = fleet(6);
+  placement_input Question = fleet(6);
   Question.Versions = {{V1, 90}, {V2, 10}, {V3, 0}};
   settle(Question);
   BOOST_TEST(copies(Question, V1) == 6U);
@@ -77,7 +77,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(follows_demand_and_then_rests) {
-  placement_question Question = fleet(12);
+  placement_input Question = fleet(12);
   Question.Versions = {{V1, 90}, {V2, 10}, {V3, 10}};
   settle(Question);
   size_t Before = copies(Question, V3);
@@ -92,7 +92,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(clears_what_was_ended_even_while_loads_run) {
-  placement_question Question = fleet(3);
+  placement_input Question = fleet(3);
   Question.Versions = {{V2, 1}};
   Question.Replicas[1].Assigned = {V1, V2};
   Question.Replicas[0].Assigned = {V2};
@@ -106,7 +106,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(makes_up_for_lost_replicas) {
-  placement_question Question = fleet(6);
+  placement_input Question = fleet(6);
   Question.Versions = {{V1, 50}, {V2, 5}, {V3, 5}};
   settle(Question);
   for (placed_replica &R : Question.Replicas)
@@ -118,8 +118,8 @@
 
 // A copy that is still being loaded serves nobody: the last loaded ones stay.
 BOOST_AUTO_TEST_CASE(never_takes_away_copies_that_are_needed) {
-  placement_question Question = fleet(3);
-  Question.LoadsAtOnce = 5;
+  placement_input Question = fleet(3);
+  Question.MaxConcurrentLoads = 5;
   Question.Versions = {{V1, 1}, {V2, 1000}};
   for (placed_replica &R : Question.Replicas)
     R.Room = 1;
@@ -133,14 +133,14 @@
 }
 
 BOOST_AUTO_TEST_CASE(orders_nothing_away_that_has_work) {
-  load_wish Wish{
+  version_assignment Wish{
       .Index = 7, .Versions = {{V2, "two"}, {V3, "three"}}, .Room = 2};
   std::map<version_name, std::string> Held = {{V1, "one"}, {V2, "two"}};
-  auto Busy = versionsToOrder(Wish, Held, {V1});
+  auto Busy = versionsToLoad(Wish, Held, {V1});
   BOOST_TEST(Busy.size() == 2U);
   BOOST_TEST(Busy.contains(V1));
   BOOST_TEST(Busy.contains(V2));
-  auto Free = versionsToOrder(Wish, Held, {});
+  auto Free = versionsToLoad(Wish, Held, {});
   BOOST_TEST(!Free.contains(V1));
   BOOST_TEST(Free.contains(V3));
 }
--- a/tests/unit/routing_changes_test.cpp
+++ b/tests/unit/routing_changes_test.cpp
@@ -80,13 +80,13 @@
 
 /// Asks as a gateway does until nothing more comes; the number of pieces.
 /// Counts in \p Damaged how often the whole had to be asked for.
-int bringUpToDate(routing_news &News, routing_copy &Copy,
+int bringUpToDate(routing_publisher &News, routing_replica &Copy,
                   int *Damaged = nullptr) {
   bool WantsWhole = false;
   for (int Pieces = 0;; ++Pieces) {
     wire::routing_ask Ask;
     Ask.set_held_version(WantsWhole ? 0 : Copy.version());
-    Ask.set_version(Copy.comingVersion());
+    Ask.set_version(Copy.pendingVersion());
     Ask.set_piece(Copy.nextPiece());
     if (Copy.version() == News.version())
       return Pieces;
@@ -119,9 +119,9 @@
 
 BOOST_AUTO_TEST_CASE(brings_any_holder_to_what_control_has) {
   std::mt19937_64 Random(11);
-  routing_news News;
-  routing_copy Near; // Up to date before each change.
-  routing_copy Far;  // Misses some.
+  routing_publisher News;
+  routing_replica Near; // Up to date before each change.
+  routing_replica Far;  // Misses some.
   for (int Round = 1; Round <= FuzzRounds; ++Round) {
     routing_config Config = randomConfig(Random, uint64_t(Round) * 3);
     News.take(Config);
@@ -138,9 +138,9 @@
 // A new leader has seen some versions only, not those that gateways hold.
 BOOST_AUTO_TEST_CASE(tells_changes_to_holders_of_versions_it_has_not_seen) {
   std::mt19937_64 Random(12);
-  routing_news Seen;
-  routing_news Seldom;
-  routing_copy Copy;
+  routing_publisher Seen;
+  routing_publisher Seldom;
+  routing_replica Copy;
   int Rounds = 0;
   int Damaged = 0;
   for (int Round = 1; Round <= FuzzRounds / 10; ++Round) {
@@ -164,8 +164,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(costs_what_a_change_costs) {
-  routing_news News;
-  routing_copy Copy;
+  routing_publisher News;
+  routing_replica Copy;
   News.take(manyRoutes(5000, 1));
   BOOST_TEST(bringUpToDate(News, Copy) > 10);
   routing_config Changed = manyRoutes(5000, 2);
@@ -181,15 +181,15 @@
 
 BOOST_AUTO_TEST_CASE(
     ends_a_transfer_that_was_begun_though_newer_versions_come) {
-  routing_news News;
-  routing_copy Copy;
+  routing_publisher News;
+  routing_replica Copy;
   News.take(manyRoutes(2000, 1));
   uint64_t Version = 1;
   int Pieces = 0;
   // A newer version with each piece.
   while (Copy.version() == 0) {
     wire::routing_ask Ask;
-    Ask.set_version(Copy.comingVersion());
+    Ask.set_version(Copy.pendingVersion());
     Ask.set_piece(Copy.nextPiece());
     BOOST_REQUIRE(Copy.take(*News.piece(Ask)) != piece_result::Odd);
     News.take(manyRoutes(2000, ++Version));
@@ -201,7 +201,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(keeps_within_its_bounds) {
-  routing_news News;
+  routing_publisher News;
   // Each version touches all routes, and gateways are at many versions.
   for (uint64_t Version = 1; Version <= 60; ++Version) {
     routing_config Config = manyRoutes(4000, Version);
@@ -217,9 +217,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(takes_no_piece_that_does_not_fit) {
-  routing_news News;
+  routing_publisher News;
   News.take(manyRoutes(600, 5));
-  routing_copy Copy;
+  routing_replica Copy;
   bringUpToDate(News, Copy);
   std::string Before = lookUps(*Copy.table());
   routing_config Next = manyRoutes(1200, 9);
@@ -272,7 +272,7 @@
       Case.Change(Piece);
       Piece.set_pieces(1);
       BOOST_TEST((Copy.take(Piece) == piece_result::Damaged));
-      BOOST_TEST(Copy.comingVersion() == 0U);
+      BOOST_TEST(Copy.pendingVersion() == 0U);
       BOOST_TEST(lookUps(*Copy.table()) == Before);
     }
   bringUpToDate(News, Copy);
@@ -282,7 +282,7 @@
 BOOST_AUTO_TEST_CASE(survives_pieces_with_random_bytes_changed) {
   google::protobuf::LogSilencer Quiet;
   std::mt19937_64 Random(5);
-  routing_news News;
+  routing_publisher News;
   News.take(randomConfig(Random, 1));
   wire::routing_piece Good = *News.piece({});
   std::string Bytes = Good.SerializeAsString();
@@ -291,15 +291,15 @@
     for (uint64_t I = 0; I < 1 + Random() % 3; ++I)
       Odd[Random() % Odd.size()] = char(Random());
     wire::routing_piece Piece;
-    routing_copy Copy;
+    routing_replica Copy;
     if (Piece.ParseFromString(Odd) && Copy.take(Piece) == piece_result::InForce)
       lookUps(*Copy.table());
   }
 }
 
 BOOST_AUTO_TEST_CASE(requests_keep_the_route_that_they_came_by) {
-  routing_news News;
-  routing_copy Copy;
+  routing_publisher News;
+  routing_replica Copy;
   News.take(manyRoutes(3, 1));
   bringUpToDate(News, Copy);
   auto Route = Copy.table()->route("a.example", "/r1/x");
@@ -316,7 +316,7 @@
 namespace {
 
 wire::routing_piece onlyPiece(uint64_t Version) {
-  routing_news News;
+  routing_publisher News;
   News.take(manyRoutes(1, Version));
   return *News.piece({});
 }
@@ -413,11 +413,11 @@
   std::string New = Old;
   New.replace(New.find(":1,"), 3, ":2,");
   New.replace(New.find("route-700"), 9, "route-new");
-  wire::routing_change Change = makeChange(1, Old, 2, New);
+  wire::routing_change Change = makeRoutingChange(1, Old, 2, New);
   BOOST_TEST(Change.base_version() == 1U);
   BOOST_TEST(Change.ByteSizeLong() < 1000U);
   // Nothing alike: the whole is shorter.
-  BOOST_TEST(makeChange(1, Old, 2, "{}").document() == "{}");
+  BOOST_TEST(makeRoutingChange(1, Old, 2, "{}").document() == "{}");
 }
 
 BOOST_AUTO_TEST_CASE(change_nothing_where_they_do_not_fit) {
@@ -425,24 +425,24 @@
   std::string Old = "{\"version\":1,\"routes\":[" + Route + "]}";
   std::string New = "{\"version\":2,\"routes\":[" + Route + ",{}]}";
   std::string Third = "{\"version\":3,\"routes\":[" + Route + ",{}]}";
-  routing_book Book;
-  BOOST_TEST(Book.apply(makeChange(0, "", 1, Old)).ok());
-  wire::routing_change Skipped = makeChange(2, New, 3, Third);
+  routing_store Book;
+  BOOST_TEST(Book.apply(makeRoutingChange(0, "", 1, Old)).ok());
+  wire::routing_change Skipped = makeRoutingChange(2, New, 3, Third);
   BOOST_REQUIRE(Skipped.base_version() == 2U);
   BOOST_TEST(!Book.apply(Skipped).ok());
-  wire::routing_change Damaged = makeChange(1, Old, 2, New);
+  wire::routing_change Damaged = makeRoutingChange(1, Old, 2, New);
   Damaged.set_digest(1);
   BOOST_TEST(!Book.apply(Damaged).ok());
-  Damaged = makeChange(1, Old, 2, New);
+  Damaged = makeRoutingChange(1, Old, 2, New);
   Damaged.mutable_steps(0)->set_from(10000);
   BOOST_TEST(!Book.apply(Damaged).ok());
   BOOST_TEST(Book.version() == 1U);
   BOOST_TEST(Book.document() == Old);
-  BOOST_TEST(Book.apply(makeChange(1, Old, 2, New)).ok());
+  BOOST_TEST(Book.apply(makeRoutingChange(1, Old, 2, New)).ok());
   BOOST_TEST(Book.apply(Skipped).ok());
   BOOST_TEST(Book.document() == Third);
   // An older one changes nothing, and is no error.
-  BOOST_TEST(Book.apply(makeChange(1, Old, 2, New)).ok());
+  BOOST_TEST(Book.apply(makeRoutingChange(1, Old, 2, New)).ok());
   BOOST_TEST(Book.version() == 3U);
 }
 
--- a/tests/unit/routing_test.cpp
+++ b/tests/unit/routing_test.cpp
@@ -153,7 +153,7 @@
 
 BOOST_AUTO_TEST_CASE(
     a_roll_out_begins_once_and_steps_only_from_where_it_stands) {
-  rollout_book Book;
+  rollout_store Book;
   BOOST_TEST(Book.begin(order("v2"), 100).ok());
   BOOST_TEST(Book.begin(order("v2"), 101).ok());
   BOOST_TEST(Book.revision() == 1U);
@@ -176,7 +176,7 @@
   BOOST_TEST(Book.find("llm")->stage() == wire::CANARY);
   wire::state_image Image;
   Book.save(Image);
-  rollout_book Copy;
+  rollout_store Copy;
   Copy.load(Image);
   BOOST_TEST(Copy.find("llm")->begun_wall() == 200);
   BOOST_TEST(Copy.revision() == Book.revision());
@@ -189,14 +189,14 @@
 BOOST_AUTO_TEST_CASE(goes_on_by_time_and_back_by_answers) {
   struct guard_case {
     const char *What;
-    rollout_facts Facts;
+    rollout_input Facts;
     rollout_verdict Verdict;
   };
-  using enum rollout_stand;
+  using enum rollout_phase;
   version_tally Old{.Answers = 500, .Failures = 25, .Seconds = 50};
   version_tally Sound{.Answers = 40, .Failures = 2, .Seconds = 4};
-  double Late = shiftAt(20) + 0.01;
-  double End = completeAt(20) + 0.01;
+  double Late = shiftAfterSeconds(20) + 0.01;
+  double End = completeAfterSeconds(20) + 0.01;
   const guard_case Cases[] = {
       {"young and sound", {Canary, 5, 20, Sound, Old}, rollout_verdict::Stay},
       {"sound until late",
@@ -229,7 +229,9 @@
 // deadline, when it turns bad only once everything goes to it.
 BOOST_AUTO_TEST_CASE(leaves_a_late_bad_version_little) {
   for (double Duration : {12.0, 16.0, 24.0, 60.0}) {
-    double Shifted = (completeAt(Duration) - shiftAt(Duration)) / Duration;
+    double Shifted =
+        (completeAfterSeconds(Duration) - shiftAfterSeconds(Duration)) /
+        Duration;
     BOOST_TEST(CanaryShare + Shifted < 0.15);
   }
 }
--- a/tests/unit/state_test.cpp
+++ b/tests/unit/state_test.cpp
@@ -148,7 +148,7 @@
         return Catalog;
       };
       catalog Catalog = Config("{}");
-      rating_book Book;
+      rating_store Book;
       std::mt19937_64 Random(5);
       std::normal_distribution<double> Noise(0, 0.1);
       auto Rate = [&](const char *Version, bool MayBeBad) {
@@ -194,7 +194,7 @@
 // every cell within a part of its error, and hears each at most once.
 BOOST_AUTO_TEST_CASE(tells_nodes_the_estimates_that_moved) {
   catalog Catalog = smallCatalog();
-  rating_book Book;
+  rating_store Book;
   estimates AtNode;
   uint64_t Known = 0;
   size_t Told = 0;
--- a/tests/unit/warming_test.cpp
+++ b/tests/unit/warming_test.cpp
@@ -18,8 +18,8 @@
 
 /// A gateway that always has a request for the cold upstream.
 struct eager_gateway {
-  warming_circle Circle;
-  warming_pace Pace;
+  warmup_group Circle;
+  warmup_pacer Pace;
   double From = 0; ///< It has started, or has been told of the others.
 };
 
@@ -29,7 +29,7 @@
   size_t Most = 0;
   for (double Now = 0; Now < Seconds; Now += 0.001) {
     for (eager_gateway &Each : Gateways) {
-      double Share = warmingShare(Bears, Bounds, Each.Circle);
+      double Share = warmupRate(Bears, Bounds, Each.Circle);
       if (Now < Each.From || Share == 0 || !Each.Pace.allows(Now))
         continue;
       Each.Pace.sent(Now, Share);
@@ -86,16 +86,16 @@
 }
 
 BOOST_AUTO_TEST_CASE(gives_nothing_to_a_gateway_that_knows_no_other) {
-  BOOST_TEST(warmingShare(Bears, Bounds, {}) == 0);
+  BOOST_TEST(warmupRate(Bears, Bounds, {}) == 0);
 }
 
 BOOST_AUTO_TEST_CASE(bears_odd_limits) {
-  const warming_circle Alone{.Gateways = 1};
-  BOOST_TEST(warmingShare(0.5, Bounds, Alone) == 1);
-  BOOST_TEST(warmingShare(0.5, {.Ratio = 1, .Slack = 0}, Alone) == 0);
-  BOOST_TEST(warmingShare(NAN, Bounds, Alone) == 0);
-  BOOST_TEST(warmingShare(INFINITY, Bounds, Alone) == 0);
-  BOOST_TEST(warmingShare(4, {.Ratio = 0, .Slack = 0}, Alone) == 0);
+  const warmup_group Alone{.Gateways = 1};
+  BOOST_TEST(warmupRate(0.5, Bounds, Alone) == 1);
+  BOOST_TEST(warmupRate(0.5, {.Ratio = 1, .Slack = 0}, Alone) == 0);
+  BOOST_TEST(warmupRate(NAN, Bounds, Alone) == 0);
+  BOOST_TEST(warmupRate(INFINITY, Bounds, Alone) == 0);
+  BOOST_TEST(warmupRate(4, {.Ratio = 0, .Slack = 0}, Alone) == 0);
 }
 
 BOOST_AUTO_TEST_CASE(begins_and_ends_with_the_list) {
@@ -136,11 +136,11 @@
 
 BOOST_AUTO_TEST_CASE(is_supposed_for_a_while_only) {
   upstream Upstream;
-  Upstream.supposeCold(3, 10);
-  Upstream.supposeCold(1, 10);
+  Upstream.assumeCold(3, 10);
+  Upstream.assumeCold(1, 10);
   BOOST_TEST(Upstream.cold(12));
   BOOST_TEST(!Upstream.cold(13));
-  Upstream.supposeCold(1e9, 20);
+  Upstream.assumeCold(1e9, 20);
   BOOST_TEST(!Upstream.cold(81));
 }
 
