--- a/bench/news.cpp
+++ b/bench/news.cpp
@@ -60,7 +60,7 @@
     for (int I = 0; I < Size.RatingsPerSecond; ++I)
       Book.add(makeRating(Random, Size), Catalog);
     wire::estimate_table Table;
-    Book.fillNews(Known, CellsOfGrant, Table);
+    Book.fillEstimateTable(Known, CellsOfGrant, Table);
     loadCells(Table.cells(), AtNode);
     Known = Table.index();
     if (Second >= WarmSeconds)
--- a/bench/placement.cpp
+++ b/bench/placement.cpp
@@ -73,7 +73,7 @@
     for (size_t I = 0; I < Replicas; ++I)
       Question.Replicas.push_back({.Name = "r" + std::to_string(I),
                                    .DataHall = "hall-" + std::to_string(I % 3),
-                                   .Room = Room,
+                                   .MaxLoadedVersions = Room,
                                    .Models = {"m"}});
     // All start from the same even placement of the first versions.
     auto Shares = Scenario.Shares(0);
--- a/bench/pool_run.cpp
+++ b/bench/pool_run.cpp
@@ -182,7 +182,7 @@
       continue;
     R.LookedAt = Now;
     ++Looks;
-    told_load Load{uint32_t(R.Running), uint32_t(R.Waiting.size())};
+    sidecar_load Load{uint32_t(R.Running), uint32_t(R.Waiting.size())};
     if (Now < R.ToldAt + TellEvery &&
         !isReportDue(R.Told, Load, uint32_t(Pool.Slots)))
       continue;
--- a/bench/pool_run.h
+++ b/bench/pool_run.h
@@ -55,7 +55,7 @@
   std::array<view, BenchEntries> Views{};
   double LookedAt = 0;
   double ToldAt = 0;
-  told_load Told;
+  sidecar_load Told;
 
   void tell(size_t Entry, double Now);
 };
--- a/bench/rollout.cpp
+++ b/bench/rollout.cpp
@@ -204,7 +204,7 @@
     return New;
   };
   auto Look = [&](rollout_run &R, int I) {
-    for (const guard_report &Report : R.Book.judge(R.Config)) {
+    for (const guard_report &Report : R.Book.evaluate(R.Config)) {
       if (Report.Name.Version != "2" || R.Result.Stopped)
         continue;
       R.Allowance = Report.Allowance;
@@ -212,8 +212,8 @@
       if (Report.Verdict == guard_verdict::Stop) {
         R.Result.Stopped = true;
         R.Result.InPart = false;
-      } else if (!Report.Stops.empty()) {
-        R.stopParts(Report.Stops);
+      } else if (!Report.StoppedScopes.empty()) {
+        R.stopParts(Report.StoppedScopes);
       } else if (Report.Verdict == guard_verdict::Settle && !R.Settled) {
         R.Settled = true;
         R.Result.SettledAt = I;
--- a/bench/warming.cpp
+++ b/bench/warming.cpp
@@ -76,7 +76,7 @@
       if (!Gateway.maySend(Now, Way))
         continue;
       if (Way != way::Unbounded)
-        Gateway.Pace.sent(Now, Gateway.shareAt(Now, Way));
+        Gateway.Pace.recordRequest(Now, Gateway.shareAt(Now, Way));
       LastSecond.push_back(Now);
       ++Sent;
     }
--- a/catalog/document.cpp
+++ b/catalog/document.cpp
@@ -146,7 +146,7 @@
   for (const version_name &Name : Upstream.Versions)
     if (Name.Version.empty())
       Reader.fault("versions", "must be written model@version");
-  Reader.integer("room", Upstream.Room, {0, 64});
+  Reader.integer("room", Upstream.MaxLoadedVersions, {0, 64});
   Reader.texts("models", Upstream.Models);
   if (Upstream.managed() == Upstream.Models.empty())
     Reader.fault("models", "must be given and not be empty if room is, and not "
--- a/catalog/document.h
+++ b/catalog/document.h
@@ -138,11 +138,11 @@
   /// not 0, the upstream is managed: control decides which versions it serves,
   /// and its sidecar makes the engine load them. 0: the engine always serves
   /// Versions.
-  int64_t Room = 0;
+  int64_t MaxLoadedVersions = 0;
   /// If managed: the models whose versions control may assign.
   std::vector<std::string> Models;
   int64_t Slots = 16; ///< Requests the engine processes concurrently.
-  bool managed() const { return Room > 0; }
+  bool managed() const { return MaxLoadedVersions > 0; }
   bool Leaving = false; ///< Is being shut down; gets no new requests.
 };
 
--- a/catalog/node_copy.cpp
+++ b/catalog/node_copy.cpp
@@ -6,7 +6,7 @@
 
 namespace olivevalve {
 
-bool config_replica::take(const wire::grant &Grant, double Now) {
+bool config_replica::applyGrant(const wire::grant &Grant, double Now) {
   if (Grant.sent_at() > Now)
     return false;
   uint64_t Before = Catalog.index();
--- a/catalog/node_copy.h
+++ b/catalog/node_copy.h
@@ -34,7 +34,7 @@
   /// Applies the delta in \p Grant and extends the lease. Ignores a grant whose
   /// delta cannot be applied, or whose `sent_at`, the time of the request it
   /// responds to, is later than \p Now. True if the configuration changed.
-  bool take(const wire::grant &Grant, double Now);
+  bool applyGrant(const wire::grant &Grant, double Now);
 
 private:
   catalog Catalog;
--- a/catalog/routing_copy.cpp
+++ b/catalog/routing_copy.cpp
@@ -23,22 +23,22 @@
 
 } // namespace
 
-piece_result routing_replica::take(const wire::routing_piece &Piece) {
+piece_result routing_replica::applyPiece(const wire::routing_piece &Piece) {
   if (!isExpected(Piece))
-    return piece_result::Odd;
+    return piece_result::Rejected;
   if (Piece.piece() == 0)
     Pending =
         pending_version{.Since = Piece.since(), .Version = Piece.version()};
   if (!storePiece(Piece)) {
     Pending.reset();
-    return piece_result::Damaged;
+    return piece_result::Corrupt;
   }
   if (++Pending->Next < Piece.pieces())
-    return piece_result::Kept;
+    return piece_result::Stored;
   uint64_t NewDigest = pendingDigest();
   if (NewDigest != Piece.digest()) {
     Pending.reset();
-    return piece_result::Damaged;
+    return piece_result::Corrupt;
   }
   activate(NewDigest);
   return piece_result::InForce;
--- a/catalog/routing_copy.h
+++ b/catalog/routing_copy.h
@@ -21,17 +21,17 @@
 
 /// Result of a received piece.
 enum class piece_result : uint8_t {
-  Odd,     ///< Out of sequence or of an old version; nothing is changed.
-  Kept,    ///< Stored; more pieces have to follow.
-  InForce, ///< The last one; its version is now in force.
+  Rejected, ///< Out of sequence or of an old version; nothing is changed.
+  Stored,   ///< Stored; more pieces have to follow.
+  InForce,  ///< The last one; its version is now in force.
   /// A part cannot be decoded or the digest does not match. The pieces received
   /// so far are dropped; the routing has to be requested again.
-  Damaged
+  Corrupt
 };
 
 class routing_replica {
 public:
-  piece_result take(const wire::routing_piece &Piece);
+  piece_result applyPiece(const wire::routing_piece &Piece);
 
   /// Version in force; 0: none.
   uint64_t version() const { return Table ? Table->version() : 0; }
--- a/consensus/raft_core.cpp
+++ b/consensus/raft_core.cpp
@@ -25,7 +25,8 @@
 raft_core::raft_core(raft_options NewOptions, raft_durable_state Durable,
                      double Now)
     : Options(std::move(NewOptions)), Random(Options.Seed),
-      Hard(std::move(Durable.Hard)), Snapshot(std::move(Durable.Snapshot)),
+      HardState(std::move(Durable.HardState)),
+      Snapshot(std::move(Durable.Snapshot)),
       Log(Durable.Entries.begin(), Durable.Entries.end()) {
   Commit = DeliveredIndex = Snapshot.Index;
   SyncedIndex = TakenIndex = lastIndex();
@@ -38,8 +39,8 @@
 }
 
 void raft_core::bootstrap(const std::string &Group, double Now) {
-  Hard.Group = Group;
-  Hard.Term = 1;
+  HardState.Group = Group;
+  HardState.Term = 1;
   markHardStateDirty();
   wire::member_list First;
   wire::member *Self = First.add_members();
@@ -87,11 +88,11 @@
                                   uint64_t To) const {
   wire::raft Message;
   Message.set_purpose(Purpose);
-  Message.set_group(Hard.Group);
+  Message.set_group(HardState.Group);
   Message.set_from(Options.Id);
   Message.set_disk(Options.Disk);
   Message.set_to(To);
-  Message.set_term(Hard.Term);
+  Message.set_term(HardState.Term);
   return Message;
 }
 
@@ -102,9 +103,9 @@
 }
 
 void raft_core::becomeFollower(uint64_t Term, uint64_t NewLeader, double Now) {
-  if (Term > Hard.Term) {
-    Hard.Term = Term;
-    Hard.Vote = 0;
+  if (Term > HardState.Term) {
+    HardState.Term = Term;
+    HardState.Vote = 0;
     markHardStateDirty();
   }
   bool WasLeader = isLeader();
@@ -131,10 +132,10 @@
     if (!Member.voter() || Member.id() == Options.Id)
       continue;
     wire::raft Message = makeMessage(wire::raft::PRE_VOTE, Member.id());
-    Message.set_term(Hard.Term + 1);
+    Message.set_term(HardState.Term + 1);
     Message.set_log_index(lastIndex());
     Message.set_log_term(lastTerm());
-    Early.push_back(std::move(Message));
+    Immediate.push_back(std::move(Message));
   }
   countVote(Options.Id, Now);
 }
@@ -142,8 +143,8 @@
 void raft_core::startElection(double Now) {
   resetElectionTimer(Now);
   Role = raft_role::Candidate;
-  ++Hard.Term;
-  Hard.Vote = Options.Id;
+  ++HardState.Term;
+  HardState.Vote = Options.Id;
   markHardStateDirty();
   Votes.clear();
   for (const wire::member &Member : Members.members()) {
@@ -152,7 +153,7 @@
     wire::raft Message = makeMessage(wire::raft::VOTE, Member.id());
     Message.set_log_index(lastIndex());
     Message.set_log_term(lastTerm());
-    Late.push_back(std::move(Message));
+    AfterSync.push_back(std::move(Message));
   }
   countVote(Options.Id, Now);
 }
@@ -186,12 +187,12 @@
 void raft_core::tick(double Now) {
   LastNow = Now;
   if (!isLeader()) {
-    if (Now >= ElectionDeadline && !Hard.Group.empty())
+    if (Now >= ElectionDeadline && !HardState.Group.empty())
       startPreVote(Now);
     return;
   }
   if (quorumContactTime(Now, &peer::LastContact) + Options.ElectionMax < Now) {
-    becomeFollower(Hard.Term, 0, Now);
+    becomeFollower(HardState.Term, 0, Now);
     return;
   }
   maintainMembers(Now);
@@ -225,7 +226,7 @@
   return Now < QuorumSendTime + Options.ElectionMin * LeaseSafetyFactor;
 }
 
-double raft_core::silence(uint64_t Id, double Now) const {
+double raft_core::secondsSinceContact(uint64_t Id, double Now) const {
   auto It = Peers.find(Id);
   return It == Peers.end() ? 0 : Now - It->second.LastContact;
 }
@@ -244,14 +245,14 @@
     return;
   if (Message.purpose() == raft::ANNOUNCE)
     return onAnnounce(Message, Now);
-  if (Message.group() != Hard.Group) {
+  if (Message.group() != HardState.Group) {
     // A VM without a group joins that of the first leader that contacts it.
     bool AdoptsGroup =
-        Hard.Group.empty() && (Message.purpose() == raft::APPEND ||
-                               Message.purpose() == raft::SNAPSHOT);
+        HardState.Group.empty() && (Message.purpose() == raft::APPEND ||
+                                    Message.purpose() == raft::SNAPSHOT);
     if (!AdoptsGroup)
       return;
-    Hard.Group = Message.group();
+    HardState.Group = Message.group();
     markHardStateDirty();
   }
   if (!senderMatchesMember(Message))
@@ -264,7 +265,7 @@
     return onVoteRequest(Message, Now);
   if (Message.purpose() == raft::PRE_VOTE_REPLY && Message.granted())
     return onVoteReply(Message, Now);
-  if (Message.term() > Hard.Term) {
+  if (Message.term() > HardState.Term) {
     bool FromLeader = Message.purpose() == raft::APPEND ||
                       Message.purpose() == raft::SNAPSHOT;
     becomeFollower(Message.term(), FromLeader ? Message.from() : 0, Now);
@@ -289,15 +290,15 @@
       isLeader() || Now < LastLeaderContact + Options.ElectionMin;
   bool NonVoter = !isVoter(Message.from());
   if (!IsPreVote && !HasLeaderContact && !NonVoter &&
-      Message.term() > Hard.Term)
+      Message.term() > HardState.Term)
     becomeFollower(Message.term(), 0, Now);
   bool Granted = !HasLeaderContact && !NonVoter &&
                  isLogUpToDate(Message.log_index(), Message.log_term());
   if (IsPreVote)
-    Granted = Granted && Message.term() > Hard.Term;
+    Granted = Granted && Message.term() > HardState.Term;
   else
-    Granted = Granted && Message.term() == Hard.Term &&
-              (Hard.Vote == 0 || Hard.Vote == Message.from());
+    Granted = Granted && Message.term() == HardState.Term &&
+              (HardState.Vote == 0 || HardState.Vote == Message.from());
   wire::raft Reply = makeMessage(IsPreVote ? wire::raft::PRE_VOTE_REPLY
                                            : wire::raft::VOTE_REPLY,
                                  Message.from());
@@ -305,11 +306,11 @@
   if (IsPreVote && Granted)
     Reply.set_term(Message.term());
   if (!IsPreVote && Granted) {
-    Hard.Vote = Message.from();
+    HardState.Vote = Message.from();
     markHardStateDirty();
     resetElectionTimer(Now);
   }
-  Late.push_back(std::move(Reply));
+  AfterSync.push_back(std::move(Reply));
 }
 
 void raft_core::onVoteReply(const wire::raft &Message, double Now) {
@@ -317,18 +318,19 @@
   if (!Message.granted())
     return;
   if (IsPreVote && Role == raft_role::PreCandidate &&
-      Message.term() == Hard.Term + 1)
+      Message.term() == HardState.Term + 1)
     countVote(Message.from(), Now);
-  if (!IsPreVote && Role == raft_role::Candidate && Message.term() == Hard.Term)
+  if (!IsPreVote && Role == raft_role::Candidate &&
+      Message.term() == HardState.Term)
     countVote(Message.from(), Now);
 }
 
 void raft_core::onAppend(const wire::raft &Message, double Now) {
   wire::raft Reply = makeMessage(wire::raft::APPEND_REPLY, Message.from());
   Reply.set_sent_at(Message.sent_at());
-  if (Message.term() < Hard.Term) {
+  if (Message.term() < HardState.Term) {
     Reply.set_log_index(lastIndex());
-    Late.push_back(std::move(Reply));
+    AfterSync.push_back(std::move(Reply));
     return;
   }
   becomeFollower(Message.term(), Message.from(), Now);
@@ -339,7 +341,7 @@
   if (!LogMatches) {
     uint64_t Hint = std::min(lastIndex(), Previous ? Previous - 1 : 0);
     Reply.set_log_index(std::max(Hint, Commit));
-    Late.push_back(std::move(Reply));
+    AfterSync.push_back(std::move(Reply));
     return;
   }
   for (const wire::log_entry &Entry : Message.entries()) {
@@ -358,12 +360,12 @@
   Commit = std::max(Commit, std::min(Message.commit(), Match));
   Reply.set_granted(true);
   Reply.set_log_index(Match);
-  Late.push_back(std::move(Reply));
+  AfterSync.push_back(std::move(Reply));
 }
 
 void raft_core::onAppendReply(const wire::raft &Message, double Now) {
   auto It = Peers.find(Message.from());
-  if (!isLeader() || Message.term() != Hard.Term || It == Peers.end())
+  if (!isLeader() || Message.term() != HardState.Term || It == Peers.end())
     return;
   peer &Peer = It->second;
   Peer.LastContact = Now;
@@ -391,7 +393,7 @@
 }
 
 void raft_core::onSnapshot(const wire::raft &Message, double Now) {
-  if (Message.term() < Hard.Term)
+  if (Message.term() < HardState.Term)
     return;
   becomeFollower(Message.term(), Message.from(), Now);
   wire::raft Reply = makeMessage(wire::raft::APPEND_REPLY, Message.from());
@@ -399,7 +401,7 @@
   Reply.set_granted(true);
   if (Message.log_index() <= Commit) {
     Reply.set_log_index(Commit);
-    Late.push_back(std::move(Reply));
+    AfterSync.push_back(std::move(Reply));
     return;
   }
   Snapshot = {.Index = Message.log_index(),
@@ -411,13 +413,13 @@
   refreshMembers();
   Install = Snapshot;
   Reply.set_log_index(Snapshot.Index);
-  Late.push_back(std::move(Reply));
+  AfterSync.push_back(std::move(Reply));
 }
 
 uint64_t raft_core::append(std::string Data, bool IsMembers) {
   wire::log_entry Entry;
   Entry.set_index(lastIndex() + 1);
-  Entry.set_term(Hard.Term);
+  Entry.set_term(HardState.Term);
   Entry.set_data(std::move(Data));
   Entry.set_is_members(IsMembers);
   Log.push_back(std::move(Entry));
@@ -461,7 +463,7 @@
     Message.set_sent_at(Now);
     Peer.SnapshotInFlight = true;
     Peer.SnapshotSentAt = Now;
-    Early.push_back(std::move(Message));
+    Immediate.push_back(std::move(Message));
     return;
   }
   if (NeedsSnapshot && !Heartbeat)
@@ -478,7 +480,7 @@
     return;
   if (!NeedsSnapshot)
     Peer.Next += uint64_t(Message.entries_size());
-  Early.push_back(std::move(Message));
+  Immediate.push_back(std::move(Message));
 }
 
 void raft_core::addEntries(uint64_t Previous, wire::raft &Message) const {
@@ -519,7 +521,7 @@
     return;
   std::sort(Matches.rbegin(), Matches.rend());
   uint64_t QuorumMatch = Matches[quorum() - 1];
-  if (QuorumMatch > Commit && termAt(QuorumMatch) == Hard.Term)
+  if (QuorumMatch > Commit && termAt(QuorumMatch) == HardState.Term)
     Commit = QuorumMatch;
 }
 
@@ -540,17 +542,17 @@
   refreshMembers();
 }
 
-raft_output raft_core::take() {
+raft_output raft_core::takeOutput() {
   raft_output Output;
   if (HardStateDirty)
-    Output.Hard = Hard;
+    Output.HardState = HardState;
   HardStateDirty = false;
   Output.Install = std::exchange(Install, std::nullopt);
   for (uint64_t I = TakenIndex + 1; I <= lastIndex(); ++I)
     Output.Entries.push_back(entryAt(I));
   TakenIndex = lastIndex();
-  Output.Early = std::exchange(Early, {});
-  Output.Late = std::exchange(Late, {});
+  Output.Immediate = std::exchange(Immediate, {});
+  Output.AfterSync = std::exchange(AfterSync, {});
   for (; DeliveredIndex < Commit; ++DeliveredIndex)
     Output.Committed.push_back(entryAt(DeliveredIndex + 1));
   return Output;
--- a/consensus/raft_core.h
+++ b/consensus/raft_core.h
@@ -46,7 +46,7 @@
   size_t TargetVoters = 3;
   /// A voter without contact for this long is removed if a learner that has
   /// caught up can replace it.
-  double SilentSeconds = 30;
+  double ReplaceAfterSeconds = 30;
   size_t MaxBatchEntries = 256;   ///< Most entries in one APPEND message.
   size_t MaxBatchBytes = 1 << 20; ///< An APPEND ends once it exceeds this.
   /// Most bytes of entries sent to one follower and not acknowledged. Bounds
@@ -74,7 +74,7 @@
 
 /// State read from the disk when the process starts.
 struct raft_durable_state {
-  raft_hard_state Hard;
+  raft_hard_state HardState;
   raft_snapshot Snapshot;
   std::vector<wire::log_entry> Entries; ///< Those after the snapshot.
 };
@@ -83,16 +83,16 @@
 /// state, the snapshot and the entries, call synced() once they are on disk,
 /// and send the messages.
 struct raft_output {
-  std::optional<raft_hard_state> Hard;  ///< Unset: unchanged.
-  std::optional<raft_snapshot> Install; ///< Replaces log and state machine.
+  std::optional<raft_hard_state> HardState; ///< Unset: unchanged.
+  std::optional<raft_snapshot> Install;     ///< Replaces log and state machine.
   /// To be appended to the log. Stored entries from the index of the first one
   /// on are replaced.
   std::vector<wire::log_entry> Entries;
-  std::vector<wire::raft> Early;
-  std::vector<wire::raft> Late;
+  std::vector<wire::raft> Immediate;
+  std::vector<wire::raft> AfterSync;
   /// To be applied to the state machine, in this order.
   std::vector<wire::log_entry> Committed;
-  bool needsSync() const { return Hard || Install || !Entries.empty(); }
+  bool needsSync() const { return HardState || Install || !Entries.empty(); }
 };
 
 enum class raft_role : uint8_t { Follower, PreCandidate, Candidate, Leader };
@@ -125,15 +125,15 @@
   /// already returned as committed can be discarded.
   void compact(uint64_t Index, std::string Image);
   /// Returns the work that has come up since the last call.
-  raft_output take();
+  raft_output takeOutput();
 
   raft_role role() const { return Role; }
   bool isLeader() const { return Role == raft_role::Leader; }
   /// Member id of the current leader; 0: unknown.
   uint64_t leader() const { return Leader; }
-  uint64_t term() const { return Hard.Term; }
+  uint64_t term() const { return HardState.Term; }
   uint64_t id() const { return Options.Id; }
-  const std::string &group() const { return Hard.Group; }
+  const std::string &group() const { return HardState.Group; }
   uint64_t commitIndex() const { return Commit; }
   uint64_t lastIndex() const;
   uint64_t firstIndex() const { return Snapshot.Index + 1; }
@@ -147,11 +147,11 @@
   double leaderSince() const { return LeaderSince; }
   /// Seconds since this leader's last contact with member \p Id; 0 if it has no
   /// such peer.
-  double silence(uint64_t Id, double Now) const;
+  double secondsSinceContact(uint64_t Id, double Now) const;
   /// Last log index known to be on the disk of member \p Id; 0 if unknown.
   uint64_t matchIndex(uint64_t Id) const;
   const raft_snapshot &snapshot() const { return Snapshot; }
-  const raft_hard_state &hardState() const { return Hard; }
+  const raft_hard_state &hardState() const { return HardState; }
   std::vector<wire::log_entry> entriesAfterSnapshot() const {
     return {Log.begin(), Log.end()};
   }
@@ -215,7 +215,7 @@
 
   raft_options Options;
   std::mt19937_64 Random;
-  raft_hard_state Hard;
+  raft_hard_state HardState;
   raft_snapshot Snapshot;
   std::deque<wire::log_entry> Log; ///< Entries after Snapshot.
   wire::member_list Members;
@@ -240,8 +240,8 @@
 
   bool HardStateDirty = false;
   std::optional<raft_snapshot> Install;
-  std::vector<wire::raft> Early;
-  std::vector<wire::raft> Late;
+  std::vector<wire::raft> Immediate;
+  std::vector<wire::raft> AfterSync;
   double LastNow = 0; ///< Time of the last tick() or step().
 };
 
--- a/consensus/raft_members.cpp
+++ b/consensus/raft_members.cpp
@@ -42,7 +42,7 @@
   Reply.set_address(Options.Address);
   if (const wire::member *LeaderMember = member(Leader))
     Reply.set_leader_address(LeaderMember->address());
-  Late.push_back(std::move(Reply));
+  AfterSync.push_back(std::move(Reply));
   bool Ready = isLeader() && membershipCommitted() && Commit >= TermStartIndex;
   const wire::member *Existing = member(Message.from());
   bool AlreadyMember = Existing && Existing->disk() == Message.disk();
@@ -88,7 +88,7 @@
     }
     for (const wire::member &Member : Members.members())
       if (Member.voter() && Member.id() != Options.Id &&
-          silence(Member.id(), Now) > Options.SilentSeconds) {
+          secondsSinceContact(Member.id(), Now) > Options.ReplaceAfterSeconds) {
         removeMember(Member.id());
         return;
       }
--- a/consensus/storage.cpp
+++ b/consensus/storage.cpp
@@ -203,8 +203,8 @@
                       .Term = Stored.log_term(),
                       .Members = Stored.entries(0).data(),
                       .Image = Stored.snapshot()};
-  Durable.Hard.Group = Stored.group();
-  Durable.Hard.Term = Stored.term();
+  Durable.HardState.Group = Stored.group();
+  Durable.HardState.Term = Stored.term();
   return absl::OkStatus();
 }
 
@@ -220,7 +220,7 @@
       break;
     wire::log_entry Entry;
     if ((*Body)[0] == HardStateRecord) {
-      decodeHardState(*Body, Durable.Hard);
+      decodeHardState(*Body, Durable.HardState);
     } else if (Entry.ParseFromArray(Body->data() + 1, int(Body->size() - 1))) {
       auto &Entries = Durable.Entries;
       while (!Entries.empty() && Entries.back().index() >= Entry.index())
@@ -235,7 +235,7 @@
     }
     Offset += HeaderBytes + Body->size();
   }
-  LastHardState = Durable.Hard;
+  LastHardState = Durable.HardState;
   LogBytes = Offset;
   TruncatedBytes = Bytes.size() - Offset;
   if (TruncatedBytes && hasIntactRecordAfter(Bytes, Offset))
@@ -267,13 +267,13 @@
 }
 
 absl::Status raft_storage::write(const raft_output &Output) {
-  if (Output.Hard)
-    LastHardState = *Output.Hard;
+  if (Output.HardState)
+    LastHardState = *Output.HardState;
   if (Output.Install)
     return compact(*Output.Install, LastHardState, Output.Entries);
   std::string Bytes;
-  if (Output.Hard)
-    Bytes += encodeHardState(*Output.Hard);
+  if (Output.HardState)
+    Bytes += encodeHardState(*Output.HardState);
   for (const wire::log_entry &Entry : Output.Entries)
     Bytes += encodeEntry(Entry);
   return Bytes.empty() ? absl::OkStatus() : append(Bytes);
--- a/control/control_task.cpp
+++ b/control/control_task.cpp
@@ -121,10 +121,10 @@
   checkLeadership();
   if (!leads(Now))
     return redirect(Peer);
-  Nodes.renewed(Peer, Renew, Now);
+  Nodes.recordRenewal(Peer, Renew, Now);
   receiveCrashReports(Renew.crashes(), Now);
   if (Renew.stopping())
-    Nodes.left(Peer);
+    Nodes.releaseLease(Peer);
   else
     grant(Peer, Renew, Now);
   Nodes.poll(Now);
@@ -141,15 +141,15 @@
     State.config().fillDelta(Renew.config_index(), *Grant->mutable_delta());
   fillQuarantine(Renew.crashes().quarantine_revision(),
                  *Grant->mutable_quarantine());
-  State.evacuations().fillNews(Renew.evacuations_revision(),
-                               *Grant->mutable_evacuations());
+  State.evacuations().fillUpdate(Renew.evacuations_revision(),
+                                 *Grant->mutable_evacuations());
   if (Renew.role() == "entry") {
     Grant->set_entries(Nodes.entries(Now));
     for (wire::account_share &Share : Nodes.sharesOf(Peer, Now))
       *Grant->add_shares() = std::move(Share);
     fillEstimates(*Grant->mutable_estimates(), Renew.estimates_index());
   }
-  Nodes.granted(Peer, Now);
+  Nodes.recordGrant(Peer, Now);
   Server.send(Peer, Message);
 }
 
@@ -166,9 +166,9 @@
     Out->set_version(Report.Name.Version);
     Out->set_allowance(Nodes.perEntry(Report.Allowance, Now));
   }
-  Ratings.fillNews(HeldIndex,
-                   HeldIndex == 0 ? MaxCellsInFirstGrant : MaxCellsPerGrant,
-                   Table);
+  Ratings.fillEstimateTable(
+      HeldIndex, HeldIndex == 0 ? MaxCellsInFirstGrant : MaxCellsPerGrant,
+      Table);
 }
 
 void control_task::sendClaimResult(const std::string &Peer, uint64_t Call,
@@ -252,7 +252,7 @@
     wire::grant *Grant = Message.mutable_grant();
     Log->state().config().fillDelta(Node.HeldConfigIndex,
                                     *Grant->mutable_delta());
-    Log->state().evacuations().fillNews(0, *Grant->mutable_evacuations());
+    Log->state().evacuations().fillUpdate(0, *Grant->mutable_evacuations());
     Server.send(Peer, Message);
   }
 }
@@ -296,20 +296,21 @@
   Metrics.gauge("log_bytes", double(Log->storage().logBytes()));
   Metrics.gauge("log_syncs", double(Log->storage().syncs()));
   Metrics.gauge("commit_index", double(Core.commitIndex()));
-  Metrics.gauge("routing_news_bytes", double(RoutingPublisher.keptBytes()));
-  Metrics.gauge("routing_news_changes", double(RoutingPublisher.keptChanges()));
+  Metrics.gauge("routing_news_bytes", double(RoutingPublisher.cachedBytes()));
+  Metrics.gauge("routing_news_changes",
+                double(RoutingPublisher.retainedChanges()));
 }
 
 void control_task::guardVersions(double Now) {
   NextGuard = Now + GuardSeconds;
-  Reports = Log->state().ratings().judge(Log->state().config());
+  Reports = Log->state().ratings().evaluate(Log->state().config());
   for (const guard_report &Report : Reports) {
     const version_spec *Spec = Log->state().config().version(Report.Name);
     if (!Spec)
       continue;
     if (Report.Verdict == guard_verdict::Stop)
       setVersionState(Report, version_state::Stopped);
-    else if (!Report.Stops.empty())
+    else if (!Report.StoppedScopes.empty())
       stopScopes(Report);
     if (Report.Verdict == guard_verdict::Settle &&
         Spec->State == version_state::Rolling)
@@ -377,7 +378,7 @@
     return;
   changeVersion(
       Report, "stopped for some templates or accounts", [&](json &Version) {
-        for (const guard_scope &Scope : Report.Stops) {
+        for (const guard_scope &Scope : Report.StoppedScopes) {
           bool IsTemplate = Scope.Kind == guard_scope::scope_kind::Template;
           Version["stopped_for"][IsTemplate ? "templates" : "accounts"]
               .push_back(Scope.Name);
@@ -411,7 +412,8 @@
           {{"version", Name},
            {"change", Change},
            {"reason", Report.Reason},
-           {"part", Report.Stops.empty() ? "" : Report.Stops[0].Name},
+           {"part",
+            Report.StoppedScopes.empty() ? "" : Report.StoppedScopes[0].Name},
            {"evidence", Report.Evidence},
            {"ratings", Report.Ratings}});
   GuardPending[Name] = true;
--- a/control/gateway_news.cpp
+++ b/control/gateway_news.cpp
@@ -25,7 +25,7 @@
 
 void control_task::onWatch(const std::string &Peer, const wire::watch &Watch) {
   double Now = steadySeconds();
-  Gateways.watched(Peer, Watch, Now);
+  Gateways.recordWatch(Peer, Watch, Now);
   receiveCrashReports(Watch.crashes(), Now);
   sendNotice(Peer);
 }
@@ -34,7 +34,7 @@
                                        double Now) {
   if (Crashes.crashes_size() + Crashes.answered_size() == 0)
     return;
-  Quarantine.heard(Crashes, Now);
+  Quarantine.addReports(Crashes, Now);
   if (leads(Now))
     proposeQuarantineChanges(Now);
 }
@@ -98,7 +98,7 @@
   if (Routing.version() <= RoutingPublisher.version())
     return;
   if (auto Config = Api->routing().takeParsed(Routing.document()))
-    return RoutingPublisher.take(*Config);
+    return RoutingPublisher.setConfig(*Config);
   auto Config = readRouting(Routing.document());
   if (!Config.ok()) {
     // The document was checked before it was committed, so it has a newer
@@ -108,7 +108,7 @@
              {"reason", messageOf(Config.status())}});
     return;
   }
-  RoutingPublisher.take(*Config);
+  RoutingPublisher.setConfig(*Config);
 }
 
 // Counts the bytes of those parts of a notice that can be large.
@@ -146,8 +146,8 @@
     for (const auto &[Service, Rollout] : State.rollouts().all())
       *Notice->add_rollouts() = Rollout;
   fillQuarantine(Gateway.QuarantineRevision, *Notice->mutable_quarantine());
-  State.evacuations().fillNews(Gateway.EvacuationsRevision,
-                               *Notice->mutable_evacuations());
+  State.evacuations().fillUpdate(Gateway.EvacuationsRevision,
+                                 *Notice->mutable_evacuations());
   for (const wire::member &Member : Core.members().members()) {
     wire::control_vm *Vm = Notice->add_control_vms();
     Vm->set_id(Member.id());
--- a/control/gateway_table.cpp
+++ b/control/gateway_table.cpp
@@ -22,8 +22,8 @@
 
 } // namespace
 
-void gateway_table::watched(const std::string &Peer, const wire::watch &Watch,
-                            double Now) {
+void gateway_table::recordWatch(const std::string &Peer,
+                                const wire::watch &Watch, double Now) {
   for (uint64_t Key : Watch.staying())
     Staying.push_back({Now, Key});
   if (!Gateways.contains(Peer))
--- a/control/gateway_table.h
+++ b/control/gateway_table.h
@@ -52,7 +52,8 @@
 class gateway_table {
 public:
   /// Records a watch message from \p Peer, with the tallies in it.
-  void watched(const std::string &Peer, const wire::watch &Watch, double Now);
+  void recordWatch(const std::string &Peer, const wire::watch &Watch,
+                   double Now);
   /// Records that the list of upstreams in \p Notice, or its changes, was sent
   /// to \p Peer. Whether it arrived shows in the next watch message of \p Peer.
   void recordListSent(const std::string &Peer, const wire::notice &Notice,
--- a/control/node_table.cpp
+++ b/control/node_table.cpp
@@ -25,8 +25,8 @@
   Barrier = Now + ControlLeaseSeconds;
 }
 
-void node_table::renewed(const std::string &Peer, const wire::renew &Renew,
-                         double Now) {
+void node_table::recordRenewal(const std::string &Peer,
+                               const wire::renew &Renew, double Now) {
   node_record &Node = Nodes[Peer];
   Node.Node = Renew.node();
   Node.Role = Renew.role();
@@ -46,13 +46,13 @@
     Node.Demand[Demand.account()] = Demand.requests_per_second();
 }
 
-void node_table::granted(const std::string &Peer, double Now) {
+void node_table::recordGrant(const std::string &Peer, double Now) {
   auto It = Nodes.find(Peer);
   if (It != Nodes.end())
     It->second.LeaseEnd = Now + ControlLeaseSeconds;
 }
 
-void node_table::left(const std::string &Peer) {
+void node_table::releaseLease(const std::string &Peer) {
   auto It = Nodes.find(Peer);
   if (It != Nodes.end())
     It->second.LeaseEnd = 0;
--- a/control/node_table.h
+++ b/control/node_table.h
@@ -45,11 +45,12 @@
   /// as in force until the leases of the previous leader have expired.
   void reset(double Now);
   /// Records a renewal from \p Peer.
-  void renewed(const std::string &Peer, const wire::renew &Renew, double Now);
+  void recordRenewal(const std::string &Peer, const wire::renew &Renew,
+                     double Now);
   /// Records that a lease was granted to \p Peer at \p Now.
-  void granted(const std::string &Peer, double Now);
+  void recordGrant(const std::string &Peer, double Now);
   /// Records that \p Peer has given up its lease.
-  void left(const std::string &Peer);
+  void releaseLease(const std::string &Peer);
 
   /// Calls \p Done once every node that holds a lease has applied \p Index or
   /// has lost its lease. The argument is the wait in seconds.
--- a/control/operator_api.cpp
+++ b/control/operator_api.cpp
@@ -212,7 +212,7 @@
          {"voter", Member.voter()},
          {"match", Core.isLeader() ? Core.matchIndex(Member.id()) : 0},
          {"silent_seconds",
-          Core.isLeader() ? Core.silence(Member.id(), Now) : 0.0}});
+          Core.isLeader() ? Core.secondsSinceContact(Member.id(), Now) : 0.0}});
   replyJson(*Exchange, 200,
             {{"id", Core.id()},
              {"disk", hexOf(Control.Log->storage().disk())},
@@ -278,7 +278,7 @@
   json List = json::array();
   const catalog &Config = Control.Log->state().config();
   std::map<version_name, guard_report> Reports;
-  for (guard_report &Report : Control.Log->state().ratings().judge(Config))
+  for (guard_report &Report : Control.Log->state().ratings().evaluate(Config))
     Reports[Report.Name] = std::move(Report);
   Config.forEach<model_spec>([&](const model_spec &Model) {
     for (const auto &[Version, Spec] : Model.Versions) {
--- a/control/placer.cpp
+++ b/control/placer.cpp
@@ -54,7 +54,7 @@
     const auto &Assigned = Config.versionsOf(Spec);
     placed_replica Replica{.Name = Spec.Name,
                            .DataHall = Spec.DataHall,
-                           .Room = size_t(Spec.Room),
+                           .MaxLoadedVersions = size_t(Spec.MaxLoadedVersions),
                            .Models = Spec.Models,
                            .Assigned = {Assigned.begin(), Assigned.end()},
                            .Usable = Sidecar && !Spec.Leaving};
--- a/control/quarantine_keeper.cpp
+++ b/control/quarantine_keeper.cpp
@@ -19,11 +19,12 @@
 
 } // namespace
 
-void quarantine_manager::heard(const wire::crash_news &Crashes, double Now) {
+void quarantine_manager::addReports(const wire::crash_news &Crashes,
+                                    double Now) {
   for (const wire::request_name &Name : Crashes.answered())
-    Evidence.answered(digestOf(Name), Now);
+    Evidence.recordResponse(digestOf(Name), Now);
   for (const wire::crash_report &Report : Crashes.crashes())
-    Evidence.ended(
+    Evidence.addCrash(
         {.Request = digestOf(Report.request()), .Upstream = Report.upstream()},
         Now);
 }
@@ -36,7 +37,7 @@
   std::erase_if(FirstSeenAt, [&](const auto &Each) {
     bool IsReleased = !Quarantined.contains(Each.first);
     if (IsReleased)
-      Evidence.answered(Each.first, Now);
+      Evidence.recordResponse(Each.first, Now);
     return IsReleased;
   });
   for (const wire::quarantined_request &Each : Quarantined.all())
@@ -68,7 +69,7 @@
       continue;
     wire::quarantined_request &Add = *Changes.emplace_back().mutable_add();
     fillName(Request, *Add.mutable_request());
-    for (uint64_t Upstream : Evidence.endsUnder(Request, Now))
+    for (uint64_t Upstream : Evidence.crashedUpstreams(Request, Now))
       Add.add_upstreams(Upstream);
   }
   return Changes;
--- a/control/quarantine_keeper.h
+++ b/control/quarantine_keeper.h
@@ -23,7 +23,7 @@
   static constexpr double MaxQuarantineSeconds = 3600;
 
   /// Records crashes, and requests that were answered completely.
-  void heard(const wire::crash_news &Crashes, double Now);
+  void addReports(const wire::crash_news &Crashes, double Now);
   /// Changes of \p Quarantined that are due, except those proposed recently.
   std::vector<wire::quarantine_change>
   changes(const quarantine_store &Quarantined, double Now);
@@ -35,7 +35,7 @@
   void synchronize(const quarantine_store &Quarantined, double Now);
   bool mayPropose(const short_digest &Request, double Now);
 
-  crash_evidence Evidence{{.MostRequests = 1 << 14}};
+  crash_evidence Evidence{{.MaxRequests = 1 << 14}};
   /// When this VM first saw each request that is in quarantine.
   std::map<short_digest, double> FirstSeenAt;
   std::map<short_digest, double> ProposedAt;
--- a/control/replicated_log.cpp
+++ b/control/replicated_log.cpp
@@ -42,7 +42,7 @@
   raft_options Core{.Id = Log->Options.Id, .Disk = Log->Storage->disk()};
   Core.Seed = randomIncarnation();
   Core.TargetVoters = Log->Options.TargetVoters;
-  Core.SilentSeconds = Log->Options.SilentSeconds;
+  Core.ReplaceAfterSeconds = Log->Options.ReplaceAfterSeconds;
   Core.Address = Log->Options.Address;
   Core.OperatorAddress = Log->Options.OperatorAddress;
   Log->Core =
@@ -214,18 +214,18 @@
   if (Failed || !Core)
     return;
   for (;;) {
-    raft_output Output = Core->take();
-    bool Idle = !Output.needsSync() && Output.Early.empty() &&
-                Output.Late.empty() && Output.Committed.empty();
+    raft_output Output = Core->takeOutput();
+    bool Idle = !Output.needsSync() && Output.Immediate.empty() &&
+                Output.AfterSync.empty() && Output.Committed.empty();
     if (Idle)
       return;
-    if (!Output.Hard)
-      send(Output.Early);
+    if (!Output.HardState)
+      send(Output.Immediate);
     if (!write(Output))
       return;
-    if (Output.Hard)
-      send(Output.Early);
-    send(Output.Late);
+    if (Output.HardState)
+      send(Output.Immediate);
+    send(Output.AfterSync);
     if (Output.Install && !State.restore(Output.Install->Image))
       logLine(log_level::Error,
               "cannot decode the snapshot received from the leader");
--- a/control/replicated_log.h
+++ b/control/replicated_log.h
@@ -40,8 +40,9 @@
   std::vector<control_peer> Peers;
   /// False: this VM only joins an existing group and never starts one.
   bool MayBootstrap = true;
-  size_t TargetVoters = 3;   ///< Learners become voters up to this count.
-  double SilentSeconds = 30; ///< A silent voter may be replaced after this.
+  size_t TargetVoters = 3; ///< Learners become voters up to this count.
+  double ReplaceAfterSeconds =
+      30; ///< A silent voter may be replaced after this.
   /// A snapshot is taken when the log has grown to this size.
   uint64_t SnapshotBytes = 8 << 20;
 };
--- a/control/rollout_driver.cpp
+++ b/control/rollout_driver.cpp
@@ -58,7 +58,7 @@
     baseline &Baseline = baselineOf(Rollout, Gateways, Now, Wall);
     bool Canary = Rollout.stage() == wire::CANARY;
     rollout_decision Judgement = judgeRollout(
-        {.Stand = Canary ? rollout_phase::Canary : rollout_phase::Shift,
+        {.Phase = Canary ? rollout_phase::Canary : rollout_phase::Shift,
          .ElapsedSeconds = Now - Baseline.BegunAt,
          .DurationSeconds = Rollout.duration_seconds(),
          .New = Gateways.answersOf(Service, Target) - Baseline.NewAtStart,
--- a/control/routing_news.cpp
+++ b/control/routing_news.cpp
@@ -59,7 +59,7 @@
 
 } // namespace
 
-void routing_publisher::take(const routing_config &Config) {
+void routing_publisher::setConfig(const routing_config &Config) {
   if (Config.Version <= Version)
     return;
   encoded_parts Next = encodeParts(Config);
@@ -157,11 +157,11 @@
 
 void routing_publisher::evictTransfers() {
   while (Transfers.size() > 1 &&
-         (Transfers.size() > MaxTransfers || keptBytes() > MaxTransferBytes))
+         (Transfers.size() > MaxTransfers || cachedBytes() > MaxTransferBytes))
     Transfers.pop_front();
 }
 
-size_t routing_publisher::keptBytes() const {
+size_t routing_publisher::cachedBytes() const {
   size_t Sum = 0;
   for (const transfer &Each : Transfers)
     Sum += Each.Bytes;
--- a/control/routing_news.h
+++ b/control/routing_news.h
@@ -23,7 +23,7 @@
 class routing_publisher {
 public:
   /// Replaces the routing. A version that is not newer is ignored.
-  void take(const routing_config &Config);
+  void setConfig(const routing_config &Config);
   /// Version of the current routing; 0: none yet.
   uint64_t version() const { return Version; }
   /// The requested piece. If the transfer that it belongs to is no longer
@@ -32,9 +32,9 @@
   std::optional<wire::routing_piece> piece(const wire::routing_ask &Request);
 
   /// Size in bytes of the pieces of all cached transfers.
-  size_t keptBytes() const;
+  size_t cachedBytes() const;
   /// Number of versions for which the changed parts are kept.
-  size_t keptChanges() const { return Changes.size(); }
+  size_t retainedChanges() const { return Changes.size(); }
 
 private:
   /// The parts that one version changed.
--- a/control/upstream_news.cpp
+++ b/control/upstream_news.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-bool upstream_history::take(
+bool upstream_history::setList(
     const std::vector<platform::listed_upstream> &Listed) {
   std::map<std::string, platform::listed_upstream> Next;
   for (const platform::listed_upstream &Each : Listed)
@@ -71,7 +71,7 @@
   });
 }
 
-wire::upstream_list upstream_history::since(uint64_t Held) const {
+wire::upstream_list upstream_history::changesSince(uint64_t Held) const {
   wire::upstream_list List;
   // The latest match: a list may return to an earlier state, and so to an
   // earlier revision.
@@ -104,21 +104,22 @@
     : PollSeconds(MinPollSeconds) {
   if (!Address.empty())
     Client = std::make_unique<platform::list_client>(
-        Loop, platform::list_client_options{.Address = Address,
-                                            .BusyPatience = MaxBusySeconds});
+        Loop, platform::list_client_options{
+                  .Address = Address, .BusyRetrySeconds = MaxBusySeconds});
 }
 
 void upstream_list_publisher::tick(double Now, bool Leads) {
-  if (!Client || !Leads || Client->asking() || Now < RequestedAt + PollSeconds)
+  if (!Client || !Leads || Client->isFetching() ||
+      Now < RequestedAt + PollSeconds)
     return;
   RequestedAt = Now;
-  Client->ask([this](const auto &Listed) {
+  Client->fetch([this](const auto &Listed) {
     if (!Listed)
       return;
     FetchedAt = RequestedAt;
     PollSeconds =
         std::max(MinPollSeconds, PollSecondsPerPage * double(Client->pages()));
-    if (!History.take(*Listed))
+    if (!History.setList(*Listed))
       return;
     logLine(log_level::Info, "list of upstreams has changed",
             {{"listed", int64_t(History.size())},
@@ -142,7 +143,7 @@
   bool InTransit = Now < Held.FullListSentAt + FullListTransitSeconds;
   if (InTransit && !History.contains(Held.Revision))
     return;
-  *Notice.mutable_upstreams() = History.since(Held.Revision);
+  *Notice.mutable_upstreams() = History.changesSince(Held.Revision);
 }
 
 } // namespace olivevalve
--- a/control/upstream_news.h
+++ b/control/upstream_news.h
@@ -26,7 +26,7 @@
 class upstream_history {
 public:
   /// Replaces the list. Returns false if nothing has changed.
-  bool take(const std::vector<platform::listed_upstream> &Listed);
+  bool setList(const std::vector<platform::listed_upstream> &Listed);
   /// Names the current list; 0: no list was received yet.
   uint64_t revision() const { return Revision; }
   size_t size() const { return Entries.size(); }
@@ -37,7 +37,7 @@
   bool contains(uint64_t HeldRevision) const;
   /// What a gateway that holds \p HeldRevision needs to be up to date: the
   /// changes since, or the complete list if that revision is no longer kept.
-  wire::upstream_list since(uint64_t HeldRevision) const;
+  wire::upstream_list changesSince(uint64_t HeldRevision) const;
 
 private:
   struct change {
--- a/daemon/node.cpp
+++ b/daemon/node.cpp
@@ -199,7 +199,7 @@
   if (Sidecar)
     Sidecar->leave();
   if (Gateway)
-    Gateway->leave();
+    Gateway->abortRequests();
   logLine(log_level::Info, "stopped");
   EndTimer.startOnce(EndSeconds);
 }
--- a/daemon/settings.cpp
+++ b/daemon/settings.cpp
@@ -157,7 +157,8 @@
   Reader.text("data_folder", Control.Log.Folder, presence::Required);
   Addresses.read(Reader, "upstream_list", Control.UpstreamListAddress,
                  presence::Optional);
-  Reader.number("replace_after_seconds", Control.Log.SilentSeconds, {1, 86400});
+  Reader.number("replace_after_seconds", Control.Log.ReplaceAfterSeconds,
+                {1, 86400});
   Reader.integer("snapshot_bytes", SnapshotBytes, {1024, 1 << 30});
   Reader.integer("loads_at_once", MaxConcurrentLoads, {1, 1000});
   Control.Log.Address = Control.Address;
@@ -172,7 +173,7 @@
   gateway_options Gateway;
   int64_t Connections = int64_t(Gateway.MaxConnections);
   Addresses.read(Reader, "address", Gateway.Address, presence::Required);
-  Addresses.read(Reader, "news_address", Gateway.NewsAddress,
+  Addresses.read(Reader, "news_address", Gateway.PeerAddress,
                  presence::Optional);
   Reader.text("upstream_list", Gateway.UpstreamListAddress, presence::Required);
   if (!Gateway.UpstreamListAddress.empty() &&
--- a/entry/entry_task.cpp
+++ b/entry/entry_task.cpp
@@ -99,7 +99,7 @@
 void entry_task::onGrant(const wire::grant &Grant) {
   if (EntryCount.update(Control.entries(), steadySeconds()))
     Pool.configure(Control.config(), EntryCount.value());
-  Crashes.hear(Grant.quarantine());
+  Crashes.apply(Grant.quarantine());
   if (!Grant.has_estimates())
     return;
   Allowances.clear();
--- a/entry/rater.cpp
+++ b/entry/rater.cpp
@@ -133,14 +133,14 @@
     Exposures.clear();
   }
   InFlight = true;
-  Control.ask(Batch, ReportTimeoutSeconds,
-              [this](const wire::envelope *Answer) {
-                InFlight = false;
-                if (!Answer || !Answer->has_ack())
-                  return;
-                Batch.Clear();
-                ExposuresInFlight.clear();
-              });
+  Control.sendRequest(Batch, ReportTimeoutSeconds,
+                      [this](const wire::envelope *Answer) {
+                        InFlight = false;
+                        if (!Answer || !Answer->has_ack())
+                          return;
+                        Batch.Clear();
+                        ExposuresInFlight.clear();
+                      });
 }
 
 } // namespace olivevalve
--- a/entry/request_claims.cpp
+++ b/entry/request_claims.cpp
@@ -28,16 +28,17 @@
   Claim->set_request_hash(checksum(Facts.Method + Facts.Path + Facts.Body));
   ClaimValue = Claim->value();
   auto Self = shared_from_this();
-  Context.Control.ask(std::move(Message), Facts.Deadline - steadySeconds(),
-                      [this, Self](const wire::envelope *Answer) {
-                        if (Stage != stage::Claiming)
-                          return;
-                        if (!Answer || !Answer->has_claim_result())
-                          return refuse(error_kind::NoLease,
-                                        "control did not respond to the query "
-                                        "whether this request ran before");
-                        onClaimed(Answer->claim_result());
-                      });
+  Context.Control.sendRequest(
+      std::move(Message), Facts.Deadline - steadySeconds(),
+      [this, Self](const wire::envelope *Answer) {
+        if (Stage != stage::Claiming)
+          return;
+        if (!Answer || !Answer->has_claim_result())
+          return refuse(error_kind::NoLease,
+                        "control did not respond to the query "
+                        "whether this request ran before");
+        onClaimed(Answer->claim_result());
+      });
 }
 
 // An attempt is sent only after a quorum has committed its claim.
@@ -130,15 +131,15 @@
   Claim->set_value(HolderValue);
   Claim->set_request_hash(checksum(Facts.Method + Facts.Path + Facts.Body));
   auto Self = shared_from_this();
-  Context.Control.ask(std::move(Message), ResolveTimeoutSeconds,
-                      [this, Self](const wire::envelope *Answer) {
-                        PollPending = false;
-                        if (Stage != stage::Resolving || !Answer)
-                          return;
-                        OutcomePolled = true;
-                        if (Answer->claim_result().finished())
-                          onClaimLost(Answer->claim_result());
-                      });
+  Context.Control.sendRequest(std::move(Message), ResolveTimeoutSeconds,
+                              [this, Self](const wire::envelope *Answer) {
+                                PollPending = false;
+                                if (Stage != stage::Resolving || !Answer)
+                                  return;
+                                OutcomePolled = true;
+                                if (Answer->claim_result().finished())
+                                  onClaimLost(Answer->claim_result());
+                              });
 }
 
 void request_task::sendClaimFinish(wire::finish Finish) {
@@ -151,8 +152,8 @@
   Message.mutable_finish()->set_account(Facts.Account);
   Message.mutable_finish()->set_key(Facts.Key);
   *Message.mutable_finish()->mutable_id() = Own.id();
-  Context.Control.ask(std::move(Message), ResolveTimeoutSeconds,
-                      [](const wire::envelope *) {});
+  Context.Control.sendRequest(std::move(Message), ResolveTimeoutSeconds,
+                              [](const wire::envelope *) {});
   ClaimValue.clear();
 }
 
--- a/entry/sessions.cpp
+++ b/entry/sessions.cpp
@@ -49,17 +49,17 @@
   Claim->set_value(Wanted.text());
   if (Replaces)
     Claim->set_replaces(Replaces->text());
-  Control.ask(std::move(Message), RequestTimeoutSeconds,
-              [this, Key, Done = std::move(Done)](const wire::envelope *A) {
-                if (!A || !A->has_claim_result())
-                  return Done(std::nullopt);
-                version_name Committed =
-                    parseVersionName(A->claim_result().value());
-                if (!Pins.contains(Key))
-                  InsertionOrder.push_back(Key);
-                Pins[Key] = {Committed, steadySeconds()};
-                Done(Committed);
-              });
+  Control.sendRequest(
+      std::move(Message), RequestTimeoutSeconds,
+      [this, Key, Done = std::move(Done)](const wire::envelope *A) {
+        if (!A || !A->has_claim_result())
+          return Done(std::nullopt);
+        version_name Committed = parseVersionName(A->claim_result().value());
+        if (!Pins.contains(Key))
+          InsertionOrder.push_back(Key);
+        Pins[Key] = {Committed, steadySeconds()};
+        Done(Committed);
+      });
 }
 
 } // namespace olivevalve
--- a/gateway/answering.cpp
+++ b/gateway/answering.cpp
@@ -56,7 +56,7 @@
   double Now = steadySeconds();
   LastReceivedAt = HeadReceivedAt = Now;
   if (!AnswerFacts.OtherIncarnation)
-    State.Crashes->answers(Upstream->Place, SentAt);
+    State.Crashes->recordResponse(Upstream->Key, SentAt);
   applyUpstreamHints(AnswerFacts);
   if (AnswerFacts.Load)
     recordLoadReport(*AnswerFacts.Load);
@@ -91,30 +91,30 @@
   if (Hints.Leaving && !Upstream->leaving()) {
     logLine(log_level::Info, "upstream announced that it is leaving",
             {{"upstream", Upstream->Listed.Id}, {"id", Facts.AttemptId}});
-    Upstream->leave();
+    Upstream->markLeaving();
   }
   if (!Hints.MalformedRetryAfter.empty())
     logLine(log_level::Warning,
             "upstream's Retry-After is not a number of seconds",
             {{"upstream", Upstream->Listed.Id},
              {"value", Hints.MalformedRetryAfter}});
-  if (!Hints.RestSeconds)
+  if (!Hints.BackoffSeconds)
     return;
-  Upstream->rest(*Hints.RestSeconds, Now);
+  Upstream->backOff(*Hints.BackoffSeconds, Now);
   State.Metrics->count("upstream_rests", Service);
   logLine(log_level::Info, "upstream requested a backoff",
           {{"upstream", Upstream->Listed.Id},
            {"id", Facts.AttemptId},
-           {"asked_s", *Hints.RestSeconds},
+           {"asked_s", *Hints.BackoffSeconds},
            {"kept_s", Upstream->backoffUntil() - Now}});
 }
 
 void forwarding::recordLoadReport(const platform::reported_load &Load) {
   uint64_t Sum = uint64_t(Load.Running) + Load.Waiting;
   auto Requests = uint32_t(std::min<uint64_t>(Sum, MaxReportedRequests));
-  Upstream->heardLoad(Requests, steadySeconds(),
-                      State.Peers->at(Upstream->Place).InFlight);
-  State.Peers->heardLoad(*Upstream, Requests);
+  Upstream->recordLoad(Requests, steadySeconds(),
+                       State.Peers->at(Upstream->Key).InFlight);
+  State.Peers->reportLoad(*Upstream, Requests);
 }
 
 // The stream is complete.
@@ -122,8 +122,8 @@
   if (!HeadSent)
     return deliver();
   if (Facts.Model)
-    State.ServicePaces[Service].ended(FirstTokenSeconds + steadySeconds() -
-                                      HeadReceivedAt);
+    State.ServicePaces[Service].recordResponse(
+        FirstTokenOverheadSeconds + steadySeconds() - HeadReceivedAt);
   leaveUpstream();
   Caller->finish();
   complete("served", Answer.Status);
@@ -166,7 +166,7 @@
   auto Keep = shared_from_this();
   Connection = nullptr; // Idle now, or closed.
   if (!Answer.NotRun)
-    Upstream->answered();
+    Upstream->recordResponse();
   if (AnswerIsEvents) {
     State.Reports->answered(Identity);
     forwardEvents(Events.takeRest());
@@ -174,10 +174,10 @@
   }
   if (Answer.NotRun) {
     if (OtherIncarnation) {
-      Upstream->leave();
-      State.Crashes->ended(watchedUpstream(*Upstream),
-                           "another has its address");
-      State.Peers->ended(*Upstream);
+      Upstream->markLeaving();
+      State.Crashes->recordCrash(watchedUpstream(*Upstream),
+                                 "another has its address");
+      State.Peers->reportCrash(*Upstream);
       --Attempts; // The intended one has crashed.
       Answer = {};
     }
@@ -207,7 +207,7 @@
               Where != broken_at::Declined;
   // A healthy upstream may close an idle keep-alive connection.
   if (Where != broken_at::Reused && Where != broken_at::Declined)
-    Upstream->failed(steadySeconds());
+    Upstream->recordFailure(steadySeconds());
   if (Sent && Where != broken_at::Reused)
     countAnswer(true);
   if (Where == broken_at::Reused)
@@ -223,8 +223,9 @@
              {"others_there", int64_t(Upstream->InFlight) - 1}});
   if (Where == broken_at::Refused) {
     Upstream->presumeCrashed(steadySeconds());
-    State.Crashes->ended(watchedUpstream(*Upstream), "connection refused");
-    State.Peers->ended(*Upstream);
+    State.Crashes->recordCrash(watchedUpstream(*Upstream),
+                               "connection refused");
+    State.Peers->reportCrash(*Upstream);
   } else if (Sent && Where != broken_at::Garbled) {
     recordInterruption();
   }
@@ -246,7 +247,7 @@
   double Now = steadySeconds();
   State.Versions.count(Service, Upstream->Listed.Version, Failed, Now - SentAt);
   Upstream->Answers.add(1, Failed, Now);
-  State.Peers->answered(*Upstream, Failed);
+  State.Peers->reportResponse(*Upstream, Failed);
 }
 
 // If all upstreams are backing off: a time after the first of them takes
--- a/gateway/forwarding.cpp
+++ b/gateway/forwarding.cpp
@@ -99,7 +99,7 @@
   State.Retries.try_emplace(Service, State.RetryBounds, State.Gateways)
       .first->second.recordRequest(ArrivedAt);
   if (Facts.Model)
-    State.ServicePaces[Service].asked(Route->TargetSeconds);
+    State.ServicePaces[Service].recordRequest(Route->TargetSeconds);
   if (choosesModel())
     ModelIndex = firstModel(Route->Sizes.size());
   attempt();
@@ -108,8 +108,8 @@
 bool forwarding::authorise() {
   if (!Routing->needsKeys())
     return true;
-  if (!Facts.Key.empty())
-    Account = Routing->accountOfKey(Facts.Key);
+  if (!Facts.Credential.empty())
+    Account = Routing->accountOfKey(Facts.Credential);
   return Account || Route->Public;
 }
 
@@ -183,7 +183,7 @@
   LastUpstream = Upstream;
   if (Facts.Model)
     recordPrompt(Request, Selected.PrefillSeconds);
-  State.Peers->changed(*Upstream);
+  State.Peers->reportChange(*Upstream);
   touchSession();
   send(Now);
 }
@@ -195,7 +195,7 @@
   State.Metrics->count("sent_to_cold_upstreams", Service);
   auto Rate = coldRequestRate(State, *Routing, *Upstream, Now);
   if (Rate && *Rate > 0)
-    Upstream->Warming.sent(Now, *Rate);
+    Upstream->Warming.recordRequest(Now, *Rate);
 }
 
 // No upstream may take the request now.
@@ -295,7 +295,7 @@
   if (Account)
     Sent.Account = Account->Name;
   Sent.Model = Model;
-  Sent.LastEvent = Events.lastId();
+  Sent.LastEventId = Events.lastId();
   Sent.Priority = priority();
   Sent.SendPriority = Facts.Model.has_value();
   SentAt = LastReceivedAt = Now;
@@ -322,7 +322,7 @@
   uint64_t SessionHash = sessionHash(Service, Facts);
   if (software_versions::isCanary(SessionHash) &&
       Version != State.Versions.target(Service))
-    State.Pins.stay(SessionHash, Now);
+    State.Pins.pinToStable(SessionHash, Now);
 }
 
 // Seconds of silence after which the upstream is presumed dead.
@@ -373,11 +373,11 @@
   // A slow response is better than none: the upstream is only left if another
   // one can take the request.
   bool Elsewhere =
-      Fallback || (mayRetry(true) && State.Retries.at(Service).left(Now) &&
+      Fallback || (mayRetry(true) && State.Retries.at(Service).hasToken(Now) &&
                    select(State, *Routing, selectionAt(Now)).Upstream);
   if (!Elsewhere)
     return Timer.startOnce(std::max(0.0, secondsLeft(Now)));
-  Upstream->failed(Now);
+  Upstream->recordFailure(Now);
   recordSilence();
   countAnswer(true);
   leaveUpstream();
@@ -412,10 +412,10 @@
     Connection->drop();
   Connection = nullptr;
   if (PrefillSeconds != 0)
-    State.PromptMemory.removeBlocks(Upstream->Place, uncachedBlocks());
+    State.PromptMemory.removeBlocks(Upstream->Key, uncachedBlocks());
   releasePrompt();
   --Upstream->InFlight;
-  State.Peers->changed(*Upstream);
+  State.Peers->reportChange(*Upstream);
   Upstream = nullptr;
 }
 
--- a/gateway/gateway_state.h
+++ b/gateway/gateway_state.h
@@ -25,7 +25,7 @@
 
 /// The identity of \p Upstream in the form that crash_watch takes.
 inline watched_upstream watchedUpstream(const upstream &Upstream) {
-  return {.Place = Upstream.Place,
+  return {.Key = Upstream.Key,
           .Name = Upstream.Listed.Id,
           .Address = Upstream.Listed.Address};
 }
--- a/gateway/gateway_task.cpp
+++ b/gateway/gateway_task.cpp
@@ -69,7 +69,7 @@
       Incarnation(randomIncarnation()), Reports(Metrics),
       Crashes(Loop, Metrics, Reports),
       Peers(Loop, State.Upstreams,
-            {.Incarnation = Incarnation, .Address = Options.NewsAddress}),
+            {.Incarnation = Incarnation, .Address = Options.PeerAddress}),
       Listener(Loop, [this](int Socket) { Callers.take(Socket); }),
       Watch(Context, Loop,
             {.Node = Options.Node,
@@ -98,12 +98,12 @@
   State.Peers = &Peers;
   State.Reports = &Reports;
   State.Crashes = &Crashes;
-  Crashes.OnEnded = [this](const watched_upstream &Ended) {
-    auto Upstream = State.Upstreams.at(Ended.Place);
+  Crashes.OnCrash = [this](const watched_upstream &Ended) {
+    auto Upstream = State.Upstreams.at(Ended.Key);
     if (!Upstream)
       return;
     Upstream->presumeCrashed(steadySeconds());
-    Peers.ended(*Upstream);
+    Peers.reportCrash(*Upstream);
   };
   Reports.OnReport = [this] { Peers.scheduleReport(); };
   Peers.OnSendReport = [this](wire::work_news &News) {
@@ -114,7 +114,7 @@
   };
   State.Random.seed(randomIncarnation());
   State.Pins.setLifetime(Options.SessionSeconds * SessionLifetimeFactor);
-  Watch.OnAsk = [this](wire::watch &Message) {
+  Watch.OnWatch = [this](wire::watch &Message) {
     Message.set_stopping(Stopping);
     Message.set_news_address(Peers.address());
     Message.set_upstreams_revision(Listed.revision());
@@ -133,7 +133,7 @@
     applyRouting(Routing);
   };
   Watch.OnRollouts = [this](const wire::notice &Notice) {
-    State.Versions.take(Notice, State.Upstreams);
+    State.Versions.apply(Notice, State.Upstreams);
     for (const wire::rollout &Rollout : Notice.rollouts())
       logLine(log_level::Info, "roll-out of a service",
               {{"service", Rollout.service()},
@@ -144,7 +144,7 @@
     bool FromLeader = Notice.gateways_revision() > 0;
     if (FromLeader)
       Reports.acknowledged(Notice.watch_sent_at(), Notice.leader());
-    Reports.hear(Notice.quarantine());
+    Reports.apply(Notice.quarantine());
   };
   Watch.OnEvacuations = [this](const evacuated_halls &Halls) {
     for (const auto &Restored : State.Upstreams.setEvacuated(Halls.all()))
@@ -156,29 +156,30 @@
   Watch.OnStaying = [this](uint64_t Key) {
     State.Pins.applyStablePin(Key, steadySeconds());
   };
-  Watch.OnNewsAddresses = [this](const std::vector<std::string> &Addresses) {
+  Watch.OnPeerAddresses = [this](const std::vector<std::string> &Addresses) {
     Peers.setGateways(Addresses);
   };
   Peers.OnPromptSent = [this](uint64_t Upstream,
                               std::span<const prompt_block> Blocks) {
     if (State.Upstreams.has(Upstream))
-      State.PromptMemory.sent(Upstream, Blocks);
+      State.PromptMemory.addPrompt(Upstream, Blocks);
   };
   Peers.OnLoad = [this](uint64_t Key, uint32_t Load) {
     if (auto Upstream = State.Upstreams.at(Key))
-      Upstream->heardLoad(Load, steadySeconds(), Peers.at(Key).InFlight);
+      Upstream->recordLoad(Load, steadySeconds(), Peers.at(Key).InFlight);
   };
   Peers.OnAnswers = [this](uint64_t Key, uint32_t Answers, uint32_t Failures) {
     if (auto Upstream = State.Upstreams.at(Key))
       Upstream->Answers.add(std::min(Answers, MaxReportedAnswers), Failures,
                             steadySeconds());
   };
-  Peers.OnEnded = [this](uint64_t Key) {
+  Peers.OnCrash = [this](uint64_t Key) {
     bool PresumedCrashed = State.Upstreams.presumeCrashed(Key, steadySeconds());
     State.Metrics->count("told_ended",
                          PresumedCrashed ? "passed over" : "not heeded");
     if (auto Upstream = State.Upstreams.at(Key))
-      Crashes.ended(watchedUpstream(*Upstream), "told by another gateway");
+      Crashes.recordCrash(watchedUpstream(*Upstream),
+                          "told by another gateway");
   };
   Watch.OnUpstreams = [this](double Age, const wire::notice &Notice) {
     applyControlList(Age, Notice);
@@ -190,7 +191,7 @@
       State.Random);
 }
 
-gateway_task::~gateway_task() { leave(); }
+gateway_task::~gateway_task() { abortRequests(); }
 
 const caller_limits &gateway_task::limits() const {
   static const caller_limits Defaults;
@@ -292,7 +293,7 @@
     return true;
   double Now = steadySeconds();
   // No older than in normal operation, where the gateway polls by then.
-  bool Checked = Watch.currentAt() >= ResumedAt &&
+  bool Checked = Watch.confirmedAt() >= ResumedAt &&
                  Now - ListReadAt <= maxListAge() + MaxListJitterSeconds;
   if (!Checked && Now < ResumedAt + CatchUpSeconds)
     return false;
@@ -402,11 +403,11 @@
     return ListTimer.startOnce(Due - Now);
   // Gateways that start at the same time would all request all pages, and keep
   // the platform from answering control.
-  if (!ListReceived && Watch.listComes() &&
+  if (!ListReceived && Watch.expectsUpstreamList() &&
       Now < State.StartedAt + MaxFirstListSeconds)
     return ListTimer.startOnce(FirstListStepSeconds);
   double Age = Now - ListReadAt;
-  List.ask([this, Now, Age](auto Received) {
+  List.fetch([this, Now, Age](auto Received) {
     logLine(log_level::Info, "list of upstreams polled by this gateway",
             {{"outcome", Received ? "had" : "failed"},
              {"held_age_s", Age},
@@ -434,7 +435,7 @@
   // This gateway has polled the list more recently; what differs in control's
   // list now will follow as a change.
   if (!Notice.has_upstreams() || ReadAt < ListReadAt ||
-      !Listed.take(Notice.upstreams()))
+      !Listed.apply(Notice.upstreams()))
     return;
   if (Listed.revision() != Notice.upstreams_revision())
     logLine(log_level::Error,
@@ -463,9 +464,9 @@
              {"held_age_s", HeldAge}});
   ListReceived = true;
   for (const auto &Upstream : Removed) {
-    State.PromptMemory.forget(Upstream->Place);
+    State.PromptMemory.removeUpstream(Upstream->Key);
     if (!Upstream->leaving())
-      Crashes.ended(watchedUpstream(*Upstream), "not listed any more");
+      Crashes.recordCrash(watchedUpstream(*Upstream), "not listed any more");
     for (upstream_connection *Idle : std::vector(Upstream->Idle))
       Idle->drop();
   }
@@ -478,7 +479,7 @@
   Callers.closeResting();
 }
 
-void gateway_task::leave() {
+void gateway_task::abortRequests() {
   std::vector<std::shared_ptr<forwarding>> Running;
   for (auto &[Raw, Request] : Requests)
     Running.push_back(Request);
--- a/gateway/gateway_task.h
+++ b/gateway/gateway_task.h
@@ -22,7 +22,7 @@
   std::string DataHall;
   std::string Address; ///< For callers.
   /// For reports of other gateways; empty: none are exchanged.
-  std::string NewsAddress;
+  std::string PeerAddress;
   std::string UpstreamListAddress; ///< The platform's list.
   std::vector<std::string> ControlSeeds;
   retry_window_bounds Retries; ///< For all gateways together.
@@ -55,7 +55,7 @@
   void drain();
   bool drained() const { return Requests.empty(); }
   /// Ends the requests that are still in flight.
-  void leave();
+  void abortRequests();
   void setSeeds(std::vector<std::string> Seeds) {
     Watch.setSeeds(std::move(Seeds));
   }
--- a/gateway/model_switch.cpp
+++ b/gateway/model_switch.cpp
@@ -20,8 +20,8 @@
 } // namespace
 
 request_size forwarding::size() const {
-  return {.ReadTokens = Facts.Model->PromptTokens,
-          .MadeTokens = expectedOutputTokens(*Facts.Model),
+  return {.InputTokens = Facts.Model->PromptTokens,
+          .OutputTokens = expectedOutputTokens(*Facts.Model),
           .Priority = Route->Priority};
 }
 
@@ -44,10 +44,10 @@
   Request.ModelIndex = Largest;
   request_estimate Estimate = estimateRequest(State, *Routing, Request);
   processing_time_stats &LargestWork = State.WorkSizes[Service];
-  LargestWork.weighed(Estimate.UpstreamSeconds);
+  LargestWork.add(Estimate.UpstreamSeconds);
   auto Larger = largerModel(
-      {.Models = Route->Sizes.size(),
-       .Place = ModelIndex,
+      {.ModelCount = Route->Sizes.size(),
+       .ModelIndex = ModelIndex,
        .Confidence = Confidence,
        .Size = size(),
        .LargestCost = costPerThousandTokens(*Routing, *Route, Service, Largest),
@@ -81,7 +81,7 @@
 // request, and the caller was told that nothing had run.
 void forwarding::switchToLargerModel() {
   auto Keep = shared_from_this();
-  Upstream->answered();
+  Upstream->recordResponse();
   countAnswer(false);
   logLine(log_level::Info, "switched to a larger model",
           {{"id", Facts.AttemptId},
@@ -147,14 +147,14 @@
                               double WaitingSeconds) {
   prompt_work Work = promptWork(State, *Routing, Request);
   if (Attempts == 1)
-    State.Utilities[Service].earned(utilityOf(size()), Work.TotalSeconds);
+    State.Utilities[Service].add(utilityOf(size()), Work.TotalSeconds);
   PrefillSeconds = prefillSeconds(State, *Routing, Request, Work, *Upstream);
   Upstream->PrefillSeconds += PrefillSeconds;
-  ExpectedSeconds = FirstTokenSeconds + WaitingSeconds + PrefillSeconds;
-  Blocks = std::move(Work.Pieces);
-  CachedTokens = State.PromptMemory.kept(Upstream->Place, Blocks);
-  State.PromptMemory.sent(Upstream->Place, Blocks);
-  State.Peers->sent(*Upstream, Blocks);
+  ExpectedSeconds = FirstTokenOverheadSeconds + WaitingSeconds + PrefillSeconds;
+  Blocks = std::move(Work.Blocks);
+  CachedTokens = State.PromptMemory.cachedTokens(Upstream->Key, Blocks);
+  State.PromptMemory.addPrompt(Upstream->Key, Blocks);
+  State.Peers->reportPrompt(*Upstream, Blocks);
 }
 
 // Blocks of the current attempt's prompt that the upstream was not expected to
@@ -171,7 +171,7 @@
   if (PrefillSeconds == 0)
     return;
   Upstream->PrefillSeconds -= std::exchange(PrefillSeconds, 0);
-  State.Peers->changed(*Upstream);
+  State.Peers->reportChange(*Upstream);
 }
 
 } // namespace olivevalve
--- a/gateway/peer_work.cpp
+++ b/gateway/peer_work.cpp
@@ -44,7 +44,7 @@
     change(Gateway, Gateway.Work.begin()->first, {});
 }
 
-void peer_work_totals::heard(const wire::work_news &Report, double Now) {
+void peer_work_totals::update(const wire::work_news &Report, double Now) {
   gateway_report &Gateway = Gateways[Report.gateway()];
   if (Report.sequence() <= Gateway.Sequence)
     return;
@@ -94,7 +94,7 @@
           {{"gateways", int64_t(Gateways.size())}});
 }
 
-warmup_group peer_work::circleOf(uint64_t Upstream) const {
+warmup_group peer_work::warmupGroup(uint64_t Upstream) const {
   if (Gateways.empty())
     return {};
   uint64_t Own = checksum(Socket.address(), Upstream);
@@ -105,12 +105,12 @@
   return {.Gateways = Gateways.size() + 1, .Rank = Rank};
 }
 
-void peer_work::changed(const upstream &Upstream) {
+void peer_work::reportChange(const upstream &Upstream) {
   if (Gateways.empty())
     return;
   if (Changed.empty())
     scheduleReport();
-  Changed.insert(Upstream.Place);
+  Changed.insert(Upstream.Key);
 }
 
 void peer_work::scheduleReport() {
@@ -122,38 +122,38 @@
   Timer.startOnce(std::max(0.0, Due));
 }
 
-void peer_work::heardLoad(const upstream &Upstream, uint32_t Load) {
+void peer_work::reportLoad(const upstream &Upstream, uint32_t Load) {
   if (Gateways.empty())
     return;
-  PendingLoads[Upstream.Place] = Load;
-  changed(Upstream);
+  PendingLoads[Upstream.Key] = Load;
+  reportChange(Upstream);
 }
 
-void peer_work::answered(const upstream &Upstream, bool Failed) {
+void peer_work::reportResponse(const upstream &Upstream, bool Failed) {
   if (Gateways.empty())
     return;
-  answers &Pending = PendingAnswers[Upstream.Place];
+  answers &Pending = PendingAnswers[Upstream.Key];
   ++Pending.All;
   Pending.Failures += Failed;
-  changed(Upstream);
+  reportChange(Upstream);
 }
 
-void peer_work::ended(const upstream &Upstream) {
+void peer_work::reportCrash(const upstream &Upstream) {
   if (Gateways.empty())
     return;
-  PendingCrashes.insert(Upstream.Place);
-  changed(Upstream);
+  PendingCrashes.insert(Upstream.Key);
+  reportChange(Upstream);
 }
 
 // The last block is the suffix, which no other prompt shares: its key is of no
 // use to other gateways, but it takes room in the cache.
-void peer_work::sent(const upstream &Upstream,
-                     std::span<const prompt_block> Blocks) {
+void peer_work::reportPrompt(const upstream &Upstream,
+                             std::span<const prompt_block> Blocks) {
   if (Gateways.empty() || Blocks.empty() ||
       Pending.prompts_size() >= MaxPromptsPerReport)
     return;
   wire::prompt_sent *Sent = Pending.add_prompts();
-  Sent->set_upstream(Upstream.Place);
+  Sent->set_upstream(Upstream.Key);
   for (const prompt_block &Block : Blocks.first(Blocks.size() - 1)) {
     Sent->add_keys(Block.Key);
     Sent->add_tokens(Block.Tokens);
@@ -175,17 +175,17 @@
   Report.set_whole(Complete);
   Report.mutable_prompts()->Swap(Pending.mutable_prompts());
   for (const auto &[Id, Upstream] : Upstreams.all()) {
-    auto Load = PendingLoads.find(Upstream->Place);
+    auto Load = PendingLoads.find(Upstream->Key);
     bool HasLoad = Load != PendingLoads.end();
     bool Included =
-        Complete ? Upstream->InFlight > 0 : Changed.contains(Upstream->Place);
-    bool Ended = PendingCrashes.contains(Upstream->Place);
-    auto Answers = PendingAnswers.find(Upstream->Place);
+        Complete ? Upstream->InFlight > 0 : Changed.contains(Upstream->Key);
+    bool Ended = PendingCrashes.contains(Upstream->Key);
+    auto Answers = PendingAnswers.find(Upstream->Key);
     bool HasAnswers = Answers != PendingAnswers.end();
     if (!Included && !HasLoad && !Ended && !HasAnswers)
       continue;
     wire::upstream_work *Work = Report.add_works();
-    Work->set_upstream(Upstream->Place);
+    Work->set_upstream(Upstream->Key);
     Work->set_prompt_ms(uint32_t(Upstream->PrefillSeconds * MsPerSecond));
     Work->set_in_flight(Upstream->InFlight);
     if (HasLoad)
@@ -215,7 +215,7 @@
   if (!Gateways.contains(From) ||
       !Report.ParseFromArray(Bytes.data(), int(Bytes.size())))
     return;
-  Others.heard(Report, steadySeconds());
+  Others.update(Report, steadySeconds());
   if (OnReportReceived)
     OnReportReceived(Report);
   for (const wire::upstream_work &Work : Report.works()) {
@@ -223,8 +223,8 @@
       OnLoad(Work.upstream(), Work.told_load() - 1);
     if (OnAnswers && Work.answers() > 0)
       OnAnswers(Work.upstream(), Work.answers(), Work.failures());
-    if (OnEnded && Work.ended())
-      OnEnded(Work.upstream());
+    if (OnCrash && Work.ended())
+      OnCrash(Work.upstream());
   }
   if (!OnPromptSent)
     return;
--- a/gateway/peer_work.h
+++ b/gateway/peer_work.h
@@ -28,7 +28,7 @@
 class peer_work_totals {
 public:
   /// Applies a gateway's report; an outdated one is ignored.
-  void heard(const wire::work_news &Report, double Now);
+  void update(const wire::work_news &Report, double Now);
   /// Drops the work of gateways that have not reported for some seconds.
   void forgetSilent(double Now);
   /// Sum over all other gateways. \p Upstream: key of the incarnation.
@@ -73,17 +73,18 @@
   /// are ignored.
   void setGateways(const std::vector<std::string> &Addresses);
   /// Reports that a prompt was sent to an upstream.
-  void sent(const upstream &Upstream, std::span<const prompt_block> Blocks);
+  void reportPrompt(const upstream &Upstream,
+                    std::span<const prompt_block> Blocks);
   /// Reports that this gateway's work at an upstream has changed.
-  void changed(const upstream &Upstream);
+  void reportChange(const upstream &Upstream);
   /// Reports a load that an upstream has reported: requests that run or wait
   /// there.
-  void heardLoad(const upstream &Upstream, uint32_t Load);
+  void reportLoad(const upstream &Upstream, uint32_t Load);
   /// Reports a response, or its failure, of an upstream to this gateway.
-  void answered(const upstream &Upstream, bool Failed);
+  void reportResponse(const upstream &Upstream, bool Failed);
   /// Reports that an upstream has crashed: another incarnation has its address,
   /// or no process listens there.
-  void ended(const upstream &Upstream);
+  void reportCrash(const upstream &Upstream);
   /// Schedules a report, not sooner than the minimum interval allows.
   void scheduleReport();
   /// Sum of the work of all other gateways at an upstream, by its key.
@@ -96,14 +97,14 @@
   /// The gateways that may send requests to an upstream while it is cold, and
   /// the rank of this one. The order differs by upstream and is the same at all
   /// gateways.
-  warmup_group circleOf(uint64_t Upstream) const;
+  warmup_group warmupGroup(uint64_t Upstream) const;
   /// Called when an upstream has reported its load to another gateway.
   std::function<void(uint64_t Upstream, uint32_t Load)> OnLoad;
   /// Called when an upstream has responded to another gateway.
   std::function<void(uint64_t Upstream, uint32_t Answers, uint32_t Failures)>
       OnAnswers;
   /// Called when another gateway reports that an upstream has crashed.
-  std::function<void(uint64_t Upstream)> OnEnded;
+  std::function<void(uint64_t Upstream)> OnCrash;
   /// Called before a report is sent, to add to it.
   std::function<void(wire::work_news &)> OnSendReport;
   /// Called for each report that is received.
--- a/gateway/selection.cpp
+++ b/gateway/selection.cpp
@@ -20,12 +20,13 @@
                                    std::string_view Model) {
   std::vector<prompt_block> Blocks;
   uint64_t Sum = 0;
-  for (const platform::prefix_block &Part : Request.Parts)
+  for (const platform::prefix_block &Part : Request.PrefixBlocks)
     Sum += Part.Tokens;
-  if (Sum > Request.PromptTokens || Request.Parts.size() > MaxPromptBlocks)
+  if (Sum > Request.PromptTokens ||
+      Request.PrefixBlocks.size() > MaxPromptBlocks)
     return Blocks;
   uint64_t Key = checksum(Model);
-  for (const platform::prefix_block &Part : Request.Parts) {
+  for (const platform::prefix_block &Part : Request.PrefixBlocks) {
     Key = checksum({reinterpret_cast<const char *>(&Part.Id), sizeof(Part.Id)},
                    Key);
     Blocks.push_back({.Key = Key, .Tokens = Part.Tokens});
@@ -52,7 +53,7 @@
     auto Rate = coldRequestRate(State, Routing, Upstream, Now);
     if (!Rate || *Rate > 0)
       return 0;
-    Upstream.Warming.waitUntil(Now + NoShareRetrySeconds);
+    Upstream.Warming.blockUntil(Now + NoShareRetrySeconds);
   }
   return Upstream.Warming.nextAt() - Now;
 }
@@ -64,7 +65,7 @@
   const std::string &Stable = State.Upstreams.stableVersion(Service);
   uint64_t SessionHash = sessionHash(Service, Request.Facts);
   std::string Pinned = Pin ? Pin->Version : std::string();
-  if (!Pin && State.Pins.stays(SessionHash, Request.Now))
+  if (!Pin && State.Pins.isPinnedToStable(SessionHash, Request.Now))
     Pinned = Stable;
   const std::string &Version =
       State.Versions.versionFor(Service, Stable, Pinned, SessionHash);
@@ -128,12 +129,12 @@
   bool ReceivesAll = State.Peers->receivesFromAll(State.Gateways);
   answer_counts All = totalAnswers(Upstreams, Now);
   for (const auto &Each : Upstreams) {
-    upstream_work Others = State.Peers->at(Each->Place);
+    upstream_work Others = State.Peers->at(Each->Key);
     Views.push_back(
         {.Id = Each->Listed.Id,
          .Load = Each->load(Now, Others.InFlight),
-         .Seen = ReceivesAll ? Each->load(Now, Others.InFlight)
-                             : double(Each->InFlight + Others.InFlight),
+         .ObservedLoad = ReceivesAll ? Each->load(Now, Others.InFlight)
+                                     : double(Each->InFlight + Others.InFlight),
          .LoadKnown = ReceivesAll || Each->hasFreshLoad(Now),
          .Slots = double(Each->Listed.Slots),
          .SameHall = Each->Listed.DataHall == State.DataHall,
@@ -159,7 +160,7 @@
   }
   for (size_t I = 0; I < Views.size(); ++I)
     if (Request.Facts.Model)
-      Views[I].ReadSeconds =
+      Views[I].UncachedPrefillSeconds =
           prefillSeconds(State, Routing, Request, Work, *Upstreams[I]);
   for (size_t I = Views.size(); I-- > 0;)
     if (Request.Tried.contains(Upstreams[I]->Listed.Id)) {
@@ -232,10 +233,10 @@
     SharedTokens += Blocks[I].Tokens;
   uint64_t SharedPrefixKey =
       Blocks.size() > 1 ? Blocks[Blocks.size() - 2].Key : 0;
-  return {.Prompt = {.Seconds = Seconds,
+  return {.Prompt = {.PrefillSeconds = Seconds,
                      .SharedPrefillSeconds = SecondsFor(SharedTokens),
                      .SharedPrefixKey = SharedPrefixKey},
-          .Pieces = std::move(Blocks),
+          .Blocks = std::move(Blocks),
           .TotalSeconds = Seconds + SecondsFor(InputTokensPerOutputToken *
                                                expectedOutputTokens(Model))};
 }
@@ -247,7 +248,7 @@
       std::string(modelAt(Request.Route, Request.Facts, Request.ModelIndex)),
       relativeCost(Routing, Request.Route, Request.Service, Request.ModelIndex),
       Request.Facts.Model->PromptTokens,
-      State.PromptMemory.kept(Upstream.Place, Work.Pieces));
+      State.PromptMemory.cachedTokens(Upstream.Key, Work.Blocks));
 }
 
 uint32_t expectedOutputTokens(const platform::model_request &Model) {
@@ -263,15 +264,15 @@
   prompt_work Work = promptWork(State, Routing, Request);
   double Read = Upstream
                     ? prefillSeconds(State, Routing, Request, Work, *Upstream)
-                    : Work.Prompt.Seconds;
+                    : Work.Prompt.PrefillSeconds;
   request_estimate Estimate{.BacklogSeconds = Selected.BacklogSeconds,
-                            .UpstreamSeconds =
-                                Read + Work.TotalSeconds - Work.Prompt.Seconds,
+                            .UpstreamSeconds = Read + Work.TotalSeconds -
+                                               Work.Prompt.PrefillSeconds,
                             .FirstTokenSeconds = UnavailableSeconds,
                             .WaitSeconds = Selected.WaitSeconds};
   if (Upstream)
     Estimate.FirstTokenSeconds =
-        FirstTokenSeconds + Selected.PrefillSeconds + Read;
+        FirstTokenOverheadSeconds + Selected.PrefillSeconds + Read;
   return Estimate;
 }
 
@@ -290,7 +291,7 @@
   warmup_group Circle;
   if (MaySend && State.Gateways > 0)
     Circle = State.Gateways == 1 ? warmup_group{.Gateways = 1}
-                                 : State.Peers->circleOf(Upstream.Place);
+                                 : State.Peers->warmupGroup(Upstream.Key);
   return warmupRate(Service->ColdRequestsPerSecond, State.ColdBounds, Circle);
 }
 
--- a/gateway/selection.h
+++ b/gateway/selection.h
@@ -34,7 +34,7 @@
   prompt_view Prompt;
   /// Prompt blocks in prompt order, keyed for this model; empty if the caller
   /// described none that can be used.
-  std::vector<prompt_block> Pieces;
+  std::vector<prompt_block> Blocks;
   double TotalSeconds = 0; ///< Upstream time for prefill and output, seconds.
 };
 
--- a/gateway/session_pins.h
+++ b/gateway/session_pins.h
@@ -38,7 +38,7 @@
   }
   /// Pins the session with this hash to the stable version, so that no canary
   /// takes it over. The pin is to be reported to the other gateways.
-  void stay(uint64_t Key, double Now) {
+  void pinToStable(uint64_t Key, double Now) {
     if (StableSessions.insert_or_assign(Key, Now).second)
       Unreported.push_back(Key);
   }
@@ -47,7 +47,7 @@
     StableSessions.insert_or_assign(Key, Now);
   }
   /// True if the session with this hash is pinned to the stable version.
-  bool stays(uint64_t Key, double Now) const {
+  bool isPinnedToStable(uint64_t Key, double Now) const {
     auto It = StableSessions.find(Key);
     return It != StableSessions.end() && Now < It->second + Lifetime;
   }
--- a/gateway/software_versions.cpp
+++ b/gateway/software_versions.cpp
@@ -11,8 +11,8 @@
 
 } // namespace
 
-void software_versions::take(const wire::notice &Notice,
-                             upstream_table &Upstreams) {
+void software_versions::apply(const wire::notice &Notice,
+                              upstream_table &Upstreams) {
   for (const wire::rollout &Rollout : Notice.rollouts()) {
     Rollouts[Rollout.service()] = Rollout;
     if (Rollout.stage() == wire::COMPLETED)
--- a/gateway/software_versions.h
+++ b/gateway/software_versions.h
@@ -24,7 +24,7 @@
 public:
   /// Applies the roll-outs in \p Notice, and updates the stable versions in \p
   /// Upstreams.
-  void take(const wire::notice &Notice, upstream_table &Upstreams);
+  void apply(const wire::notice &Notice, upstream_table &Upstreams);
   /// The version that a request is for. \p Stable: the stable version. \p
   /// Pinned: version of the session's last request, or empty. \p SessionHash:
   /// see sessionHash().
--- a/gateway/spare_answer.cpp
+++ b/gateway/spare_answer.cpp
@@ -30,7 +30,7 @@
     Parts.Connection->drop();
   Parts.Connection = nullptr;
   --Parts.Upstream->InFlight;
-  State.Peers->changed(*Parts.Upstream);
+  State.Peers->reportChange(*Parts.Upstream);
   Parts.Upstream = nullptr;
 }
 
@@ -50,7 +50,7 @@
 
 void fallback_response::onAnswerEnd() {
   Parts.Connection = nullptr; // Idle now, or closed.
-  Parts.Upstream->answered();
+  Parts.Upstream->recordResponse();
   State.Reports->answered(Parts.Request);
   Bytes.append(Parts.Events.takeRest());
   Complete = true;
--- a/gateway/upstream_copy.cpp
+++ b/gateway/upstream_copy.cpp
@@ -14,7 +14,7 @@
   Revision = platform::revisionOf(ById);
 }
 
-bool upstream_copy::take(const wire::upstream_list &Update) {
+bool upstream_copy::apply(const wire::upstream_list &Update) {
   auto Entries = platform::decodeUpstreams(Update);
   bool Applicable = Update.whole() || Update.since() == Revision;
   if (!Entries || !Applicable)
--- a/gateway/upstream_copy.h
+++ b/gateway/upstream_copy.h
@@ -24,7 +24,7 @@
   void set(std::vector<platform::listed_upstream> List);
   /// Applies an update from control. Returns false and changes nothing if the
   /// update is based on another list than this one or cannot be read.
-  bool take(const wire::upstream_list &Update);
+  bool apply(const wire::upstream_list &Update);
   std::vector<platform::listed_upstream> list() const;
 
 private:
--- a/gateway/upstream_table.cpp
+++ b/gateway/upstream_table.cpp
@@ -47,13 +47,13 @@
              : Known;
 }
 
-void upstream::heardLoad(uint32_t Load, double Now, uint32_t Others) {
+void upstream::recordLoad(uint32_t Load, double Now, uint32_t Others) {
   ReportedLoad = std::min(Load, MaxLoadPerSlot * std::max(1U, Listed.Slots));
   ReportedAt = Now;
   KnownAtReport = InFlight + Others;
 }
 
-void upstream::failed(double Now) {
+void upstream::recordFailure(double Now) {
   double Pause = FirstSuspectSeconds *
                  double(1U << std::min(ConsecutiveFailures, MaxDoublings));
   SuspectUntil = Now + std::min(Pause, MaxSuspectSeconds);
@@ -65,7 +65,7 @@
   PresumedCrashedUntil = Now + PresumedCrashSeconds;
 }
 
-void upstream::rest(double Seconds, double Now) {
+void upstream::backOff(double Seconds, double Now) {
   BackoffUntil =
       std::max(BackoffUntil, Now + std::min(Seconds, MaxBackoffSeconds));
 }
@@ -88,7 +88,7 @@
   Listed = std::move(Entry);
 }
 
-void upstream::answered() {
+void upstream::recordResponse() {
   ConsecutiveFailures = 0;
   PresumedCrashedUntil = 0;
 }
@@ -115,7 +115,7 @@
   // Reports and stored state refer to this key, which contains the start time:
   // those about an earlier start do not apply to this one, however late they
   // arrive.
-  New->Place = checksum(Listed.Id, Listed.StartedMs);
+  New->Key = checksum(Listed.Id, Listed.StartedMs);
   New->list(std::move(Listed), Now);
   return New;
 }
@@ -132,13 +132,13 @@
     Upstream->Evacuated = EvacuatedHalls.contains(Upstream->Listed.DataHall);
     ++Versions[Upstream->Listed.Service][Upstream->Listed.Version];
     ByService[Upstream->Listed.Service].push_back(Upstream);
-    ByKey[Upstream->Place] = Upstream;
+    ByKey[Upstream->Key] = Upstream;
     std::string Id = Upstream->Listed.Id;
     Next[Id] = std::move(Upstream);
   }
   for (auto &[Service, Upstreams] : ByService)
     std::sort(Upstreams.begin(), Upstreams.end(),
-              [](const auto &A, const auto &B) { return A->Place < B->Place; });
+              [](const auto &A, const auto &B) { return A->Key < B->Key; });
   std::vector<std::shared_ptr<upstream>> Removed;
   for (auto &[Id, Upstream] : ById)
     if (auto It = Next.find(Id); It == Next.end() || It->second != Upstream) {
--- a/gateway/upstream_table.h
+++ b/gateway/upstream_table.h
@@ -40,7 +40,7 @@
   bool Evacuated = false; ///< Its whole data hall is evacuated.
   /// Key of the incarnation, the same at all gateways; orders the upstreams of
   /// a service.
-  uint64_t Place = 0;
+  uint64_t Key = 0;
   /// Requests of this gateway in flight.
   uint32_t InFlight = 0;
   /// Upstream time for own prompts whose prefill is not done.
@@ -77,16 +77,16 @@
   /// Records a reported load. \p Load: requests that ran or waited at the
   /// upstream. \p Others: requests that the reporting gateways have in flight
   /// there now.
-  void heardLoad(uint32_t Load, double Now, uint32_t Others = 0);
+  void recordLoad(uint32_t Load, double Now, uint32_t Others = 0);
   /// Records that the upstream gave no response or an invalid one.
-  void failed(double Now);
+  void recordFailure(double Now);
   /// Records a response: the upstream is alive.
-  void answered();
+  void recordResponse();
   /// Records that the upstream has announced that it is leaving.
-  void leave() { AnnouncedLeaving = true; }
+  void markLeaving() { AnnouncedLeaving = true; }
   /// Sends no requests from this gateway for \p Seconds, up to a limit, as the
   /// upstream asked with Retry-After.
-  void rest(double Seconds, double Now);
+  void backOff(double Seconds, double Now);
   /// End of the backoff; in the past: the upstream is not backing off.
   double backoffUntil() const { return BackoffUntil; }
   /// Stops soon, as planned, and takes no new requests.
--- a/lease/control_client.cpp
+++ b/lease/control_client.cpp
@@ -81,7 +81,7 @@
   if (Leaving)
     return;
   double Now = steadySeconds();
-  bool Changed = Copy.take(Grant, Now);
+  bool Changed = Copy.applyGrant(Grant, Now);
   bool Renewal = Grant.lease_seconds() > 0;
   if (Renewal) {
     LastGrant = Now;
@@ -91,7 +91,7 @@
     for (const wire::account_share &Share : Grant.shares())
       Shares[Share.account()] = Share.share();
   }
-  Evacuated.hear(Grant.evacuations());
+  Evacuated.applyUpdate(Grant.evacuations());
   if (OnGrant)
     OnGrant(Grant);
   if (!Changed)
@@ -123,8 +123,8 @@
     }
 }
 
-void control_client::ask(wire::envelope Message, double Seconds,
-                         answer_handler Handler) {
+void control_client::sendRequest(wire::envelope Message, double Seconds,
+                                 answer_handler Handler) {
   uint64_t Call = NextCall++;
   setCall(Message, Call);
   double Now = steadySeconds();
--- a/lease/control_client.h
+++ b/lease/control_client.h
@@ -57,7 +57,8 @@
   /// Sends \p Message, which must be a claim, a finish or a batch of bills or
   /// ratings, to the leader and resends it until it is answered or \p Seconds
   /// have passed. Sets the message's call number.
-  void ask(wire::envelope Message, double Seconds, answer_handler Handler);
+  void sendRequest(wire::envelope Message, double Seconds,
+                   answer_handler Handler);
   /// Sends a renewal at once, to report something without delay.
   void renewNow();
   /// Gives up the lease and reports that to all control VMs.
--- a/lease/control_watch.cpp
+++ b/lease/control_watch.cpp
@@ -34,7 +34,7 @@
   Timer.startRepeating(TickSeconds);
 }
 
-bool control_watch::listComes() const {
+bool control_watch::expectsUpstreamList() const {
   return LeaderSendsList &&
          steadySeconds() < LeaderSentAt + LeaderTimeoutSeconds;
 }
@@ -148,8 +148,8 @@
   Watch->set_sent_at(steadySeconds());
   Watch->set_rollouts_revision(RolloutsRevision);
   Watch->set_evacuations_revision(Evacuated.revision());
-  if (OnAsk)
-    OnAsk(*Watch);
+  if (OnWatch)
+    OnWatch(*Watch);
   linkTo(Current).send(Message);
 }
 
@@ -165,11 +165,11 @@
 }
 
 void control_watch::requestRouting() {
-  auto Request = Routing.question(steadySeconds());
+  auto Request = Routing.nextRequest(steadySeconds());
   if (!Request)
     return;
   wire::envelope Message;
-  *Message.mutable_routing_ask() = std::move(Request->Ask);
+  *Message.mutable_routing_ask() = std::move(Request->Request);
   linkTo(Request->To).send(Message);
 }
 
@@ -177,9 +177,9 @@
                                  const wire::routing_piece &Piece) {
   LastReceivedAt = steadySeconds();
   switch (Routing.take(From, Piece)) {
-  case piece_result::Odd:
+  case piece_result::Rejected:
     return;
-  case piece_result::Kept:
+  case piece_result::Stored:
     break;
   case piece_result::InForce:
     logLine(log_level::Info, "routing configuration in force",
@@ -191,7 +191,7 @@
              {"from", From}});
     OnRouting(Routing.copy().table());
     break;
-  case piece_result::Damaged:
+  case piece_result::Corrupt:
     logLine(log_level::Error,
             "received routing is damaged, requesting the complete routing",
             {{"version", int64_t(Piece.version())},
@@ -231,13 +231,13 @@
   bool Trusted = routingVersion() > 0 || From == Leader ||
                  Now > StartedAt + FirstRoutingFromLeaderSeconds;
   if (Trusted)
-    Routing.offered(From, Notice.routing_version());
+    Routing.recordOffer(From, Notice.routing_version());
   requestRouting();
   if (Notice.rollouts_revision() > RolloutsRevision) {
     RolloutsRevision = Notice.rollouts_revision();
     OnRollouts(Notice);
   }
-  if (Evacuated.hear(Notice.evacuations()))
+  if (Evacuated.applyUpdate(Notice.evacuations()))
     OnEvacuations(Evacuated);
   if (OnQuarantine)
     OnQuarantine(Notice);
@@ -250,7 +250,7 @@
   if (Notice.gateways_revision() > 0 &&
       Notice.gateways_revision() != GatewaysRevision) {
     GatewaysRevision = Notice.gateways_revision();
-    OnNewsAddresses(
+    OnPeerAddresses(
         {Notice.news_addresses().begin(), Notice.news_addresses().end()});
   }
   receiveUpstreams(Notice);
--- a/lease/control_watch.h
+++ b/lease/control_watch.h
@@ -35,7 +35,7 @@
                 control_watch_options Options);
 
   /// Called before each watch message is sent, to add what the gateway reports.
-  std::function<void(wire::watch &)> OnAsk;
+  std::function<void(wire::watch &)> OnWatch;
   /// Called when a routing with a higher version has come into force.
   std::function<void(const std::shared_ptr<routing_table> &)> OnRouting;
   /// Called with a notice that has newer roll-outs.
@@ -51,7 +51,7 @@
   std::function<void(uint32_t Count)> OnGateways;
   /// Called when the addresses at which gateways receive each other's load
   /// updates have changed.
-  std::function<void(const std::vector<std::string> &)> OnNewsAddresses;
+  std::function<void(const std::vector<std::string> &)> OnPeerAddresses;
   /// Called with a notice that names the list of upstreams, as it was \p Age
   /// seconds ago at the platform. The notice may contain the list or the
   /// changes since the one that the gateway holds.
@@ -62,11 +62,11 @@
   /// Time up to which the routing in force is certain to be the newest, by this
   /// process's steady clock: the leader sent its last notice then or later. 0
   /// if that notice names a newer version.
-  double currentAt() const {
+  double confirmedAt() const {
     return routingVersion() >= LeaderRoutingVersion ? LeaderSentAt : 0;
   }
   /// True if the leader has answered recently and sends the list of upstreams.
-  bool listComes() const;
+  bool expectsUpstreamList() const;
   /// Seconds since the last message from any control VM.
   double silence() const;
   /// Replaces the seed addresses.
--- a/lease/evacuated_halls.cpp
+++ b/lease/evacuated_halls.cpp
@@ -5,7 +5,7 @@
 
 namespace olivevalve {
 
-bool evacuated_halls::hear(const wire::evacuation_news &Update) {
+bool evacuated_halls::applyUpdate(const wire::evacuation_news &Update) {
   if (Update.revision() <= Revision)
     return false;
   std::set<std::string, std::less<>> Next;
--- a/lease/evacuated_halls.h
+++ b/lease/evacuated_halls.h
@@ -19,7 +19,7 @@
 public:
   /// Applies an update; one that is not newer is ignored. Returns true if it
   /// was newer.
-  bool hear(const wire::evacuation_news &Update);
+  bool applyUpdate(const wire::evacuation_news &Update);
   bool contains(std::string_view DataHall) const {
     return Halls.contains(DataHall);
   }
--- a/lease/outbox.cpp
+++ b/lease/outbox.cpp
@@ -43,20 +43,20 @@
   wire::envelope Message;
   for (const queued_bill &Each : InFlight)
     *Message.mutable_bills()->add_bills() = Each.Bill;
-  Control.ask(std::move(Message), AnswerTimeoutSeconds,
-              [this](const wire::envelope *Answer) {
-                bool Confirmed =
-                    Answer && Answer->has_ack() && Answer->ack().kind() == 0;
-                if (!Confirmed)
-                  Queued.insert(Queued.begin(), InFlight.begin(),
-                                InFlight.end());
-                InFlight.clear();
-                // After a burst more than a batch is queued. Send the next one
-                // at once: a batch per timer interval is only a thousand bills
-                // a second.
-                if (Confirmed && Queued.size() >= MaxBatchBills)
-                  sendBatch(steadySeconds());
-              });
+  Control.sendRequest(std::move(Message), AnswerTimeoutSeconds,
+                      [this](const wire::envelope *Answer) {
+                        bool Confirmed = Answer && Answer->has_ack() &&
+                                         Answer->ack().kind() == 0;
+                        if (!Confirmed)
+                          Queued.insert(Queued.begin(), InFlight.begin(),
+                                        InFlight.end());
+                        InFlight.clear();
+                        // After a burst more than a batch is queued. Send the
+                        // next one at once: a batch per timer interval is only
+                        // a thousand bills a second.
+                        if (Confirmed && Queued.size() >= MaxBatchBills)
+                          sendBatch(steadySeconds());
+                      });
 }
 
 } // namespace olivevalve
--- a/lease/routing_fetch.cpp
+++ b/lease/routing_fetch.cpp
@@ -17,14 +17,14 @@
 
 } // namespace
 
-void routing_fetch::offered(const std::string &From, uint64_t Version) {
+void routing_fetch::recordOffer(const std::string &From, uint64_t Version) {
   if (Version < NewestVersion || Version <= Copy.version())
     return;
   NewestVersion = Version;
   Source = From;
 }
 
-std::optional<routing_request> routing_fetch::question(double Now) {
+std::optional<routing_request> routing_fetch::nextRequest(double Now) {
   if (NewestVersion <= Copy.version() || (InFlight && Now < RetryAt))
     return std::nullopt;
   bool Repeated = InFlight;
@@ -40,28 +40,28 @@
   RetryAt = Now + RetrySeconds * Jitter(Random);
   InFlight = true;
   routing_request Request{.To = RequestedFrom};
-  Request.Ask.set_held_version(NeedsFullRouting ? 0 : Copy.version());
-  Request.Ask.set_version(Copy.pendingVersion());
-  Request.Ask.set_piece(Copy.nextPiece());
+  Request.Request.set_held_version(NeedsFullRouting ? 0 : Copy.version());
+  Request.Request.set_version(Copy.pendingVersion());
+  Request.Request.set_piece(Copy.nextPiece());
   return Request;
 }
 
 piece_result routing_fetch::take(const std::string &From,
                                  const wire::routing_piece &Piece) {
   if (From != RequestedFrom)
-    return piece_result::Odd;
-  piece_result Result = Copy.take(Piece);
+    return piece_result::Rejected;
+  piece_result Result = Copy.applyPiece(Piece);
   switch (Result) {
-  case piece_result::Odd:
+  case piece_result::Rejected:
     break;
-  case piece_result::Kept:
+  case piece_result::Stored:
     InFlight = false;
     break;
   case piece_result::InForce:
     InFlight = false;
     NeedsFullRouting = false;
     break;
-  case piece_result::Damaged:
+  case piece_result::Corrupt:
     // Request the complete routing at once. If that is damaged as well, the
     // next attempt may be too, so it waits for the retry interval.
     InFlight = NeedsFullRouting;
--- a/lease/routing_fetch.h
+++ b/lease/routing_fetch.h
@@ -20,7 +20,7 @@
 /// A request for a piece of the routing.
 struct routing_request {
   std::string To; ///< Address of the control VM to send it to.
-  wire::routing_ask Ask;
+  wire::routing_ask Request;
 };
 
 class routing_fetch {
@@ -29,10 +29,10 @@
   explicit routing_fetch(uint64_t Seed) : Random(Seed) {}
 
   /// Records that the control VM at \p From holds \p Version of the routing.
-  void offered(const std::string &From, uint64_t Version);
+  void recordOffer(const std::string &From, uint64_t Version);
   /// The request to send now. None if the routing is up to date or an answer
   /// may still arrive.
-  std::optional<routing_request> question(double Now);
+  std::optional<routing_request> nextRequest(double Now);
   /// Applies a piece that arrived from the control VM at \p From. Returns Odd,
   /// and changes nothing, if the piece was not requested from that VM or does
   /// not fit the pieces before it.
--- a/ledger/evacuations.cpp
+++ b/ledger/evacuations.cpp
@@ -26,8 +26,8 @@
   return absl::OkStatus();
 }
 
-void evacuation_store::fillNews(uint64_t HeldRevision,
-                                wire::evacuation_news &Update) const {
+void evacuation_store::fillUpdate(uint64_t HeldRevision,
+                                  wire::evacuation_news &Update) const {
   if (Revision <= HeldRevision)
     return;
   Update.set_revision(Revision);
--- a/ledger/evacuations.h
+++ b/ledger/evacuations.h
@@ -35,7 +35,7 @@
   uint64_t revision() const { return Revision; }
   /// Writes the list of evacuated data halls into a message, unless \p
   /// HeldRevision, the revision that the receiver holds, is current.
-  void fillNews(uint64_t HeldRevision, wire::evacuation_news &Update) const;
+  void fillUpdate(uint64_t HeldRevision, wire::evacuation_news &Update) const;
 
   void save(wire::state_image &Image) const;
   void load(const wire::state_image &Image);
--- a/ledger/quarantine.cpp
+++ b/ledger/quarantine.cpp
@@ -23,7 +23,7 @@
   if (contains(digestOf(Request.request())))
     return false;
   Requests.push_back(std::move(Request));
-  if (Requests.size() > MostRequests)
+  if (Requests.size() > MaxRequests)
     Requests.pop_front();
   return true;
 }
--- a/ledger/quarantine.h
+++ b/ledger/quarantine.h
@@ -17,7 +17,7 @@
 class quarantine_store {
 public:
   /// Bounds the list; adding one more releases the oldest.
-  static constexpr size_t MostRequests = 256;
+  static constexpr size_t MaxRequests = 256;
 
   /// Adds or releases a request at \p WallSeconds, in seconds since the epoch.
   /// False if it is in quarantine already, or not in quarantine, respectively.
--- a/ledger/ratings.cpp
+++ b/ledger/ratings.cpp
@@ -104,8 +104,8 @@
   }
 }
 
-void rating_store::fillNews(uint64_t HeldIndex, size_t MaxCells,
-                            wire::estimate_table &Table) const {
+void rating_store::fillEstimateTable(uint64_t HeldIndex, size_t MaxCells,
+                                     wire::estimate_table &Table) const {
   // A node with a higher index got it from another control group; it is sent
   // all cells.
   Published.fill(HeldIndex > Count ? 0 : HeldIndex, MaxCells, Estimates, Count,
@@ -220,7 +220,7 @@
         continue;
       Report.Reason = (IsTemplate ? "template " : "account ") + Scope;
       if (passesExcluding(Spec, Record, {Kind, Scope}))
-        Report.Stops.push_back({Kind, Scope});
+        Report.StoppedScopes.push_back({Kind, Scope});
       else
         Report.Verdict = guard_verdict::Stop;
     }
@@ -241,18 +241,18 @@
     if (Rolling)
       FailingScope = onlyFailingScope(Spec, Record);
     if (FailingScope)
-      Report.Stops = {*FailingScope};
+      Report.StoppedScopes = {*FailingScope};
     else
       Report.Verdict = guard_verdict::Stop;
     Report.Reason = "all answers";
-  } else if (Overall == guard_verdict::Settle && Report.Stops.empty() &&
+  } else if (Overall == guard_verdict::Settle && Report.StoppedScopes.empty() &&
              Report.Verdict == guard_verdict::Go) {
     Report.Verdict = guard_verdict::Settle;
   }
   return Report;
 }
 
-std::vector<guard_report> rating_store::judge(const catalog &Catalog) const {
+std::vector<guard_report> rating_store::evaluate(const catalog &Catalog) const {
   static const version_record None;
   double Answers = 0;
   double Ratings = 0;
--- a/ledger/ratings.h
+++ b/ledger/ratings.h
@@ -32,7 +32,7 @@
   guard_verdict Verdict = guard_verdict::Go;
   std::string Reason; ///< The test that failed; empty: none.
   /// Scopes in which the version has to stop while it continues elsewhere.
-  std::vector<guard_scope> Stops;
+  std::vector<guard_scope> StoppedScopes;
   /// Answers that all entries together may still give before more ratings
   /// arrive. Applies to rolling versions only.
   double Allowance = 0;
@@ -50,12 +50,12 @@
   /// Adds to the number of answers that a version has given.
   void addExposure(const wire::exposure &Exposure);
   /// Evaluates the tests of every version that takes new requests.
-  std::vector<guard_report> judge(const catalog &Catalog) const;
+  std::vector<guard_report> evaluate(const catalog &Catalog) const;
   const estimates &quality() const { return Estimates; }
   /// Adds to \p Table about \p MaxCells of the cells published since the index
   /// \p HeldIndex, which the node reported as the last it holds.
-  void fillNews(uint64_t HeldIndex, size_t MaxCells,
-                wire::estimate_table &Table) const;
+  void fillEstimateTable(uint64_t HeldIndex, size_t MaxCells,
+                         wire::estimate_table &Table) const;
   /// Number of ratings added so far; the index of published estimates.
   uint64_t ratings() const { return Count; }
   /// Discards the tests of a version that an operator rolls out again.
--- a/policy/admission.cpp
+++ b/policy/admission.cpp
@@ -30,12 +30,12 @@
 
 } // namespace
 
-void service_stats::asked(double TargetSeconds) {
+void service_stats::recordRequest(double TargetSeconds) {
   if (ShortestTarget == 0 || TargetSeconds < ShortestTarget)
     ShortestTarget = TargetSeconds;
 }
 
-void service_stats::ended(double Seconds) {
+void service_stats::recordResponse(double Seconds) {
   SlotSeconds += (SlotSeconds == 0 ? 1 : SlotTimeWeight) *
                  (std::max(0.0, Seconds) - SlotSeconds);
 }
--- a/policy/admission.h
+++ b/policy/admission.h
@@ -20,9 +20,9 @@
 class service_stats {
 public:
   /// Records a request to a route with this target latency.
-  void asked(double TargetSeconds);
+  void recordRequest(double TargetSeconds);
   /// Records a finished response that occupied its slot for \p Seconds.
-  void ended(double Seconds);
+  void recordResponse(double Seconds);
   /// The mean time that a response occupies its slot; 0 before the first one.
   double meanSlotSeconds() const { return SlotSeconds; }
   /// The shortest target latency of the routes that had requests, in seconds; 0
--- a/policy/crash_evidence.cpp
+++ b/policy/crash_evidence.cpp
@@ -35,18 +35,18 @@
 }
 
 void crash_evidence::makeRoom() {
-  while (Records.size() >= Options.MostRequests) {
+  while (Records.size() >= Options.MaxRequests) {
     Records.erase(std::get<short_digest>(*Order.begin()));
     Order.erase(Order.begin());
   }
 }
 
-bool crash_evidence::ended(const crash_report &Report, double Now) {
+bool crash_evidence::addCrash(const crash_report &Report, double Now) {
   if (Answered.contains(Report.Request, Now))
     return false;
   auto It = Records.find(Report.Request);
   if (It != Records.end() && !isCurrent(It->second, Now)) {
-    forget(Report.Request);
+    clear(Report.Request);
     It = Records.end();
   }
   if (It == Records.end()) {
@@ -64,15 +64,15 @@
   return true;
 }
 
-bool crash_evidence::answered(const short_digest &Request, double Now) {
+bool crash_evidence::recordResponse(const short_digest &Request, double Now) {
   Answered.add(Request, Now);
   if (!Records.contains(Request))
     return false;
-  forget(Request);
+  clear(Request);
   return true;
 }
 
-void crash_evidence::forget(const short_digest &Request) {
+void crash_evidence::clear(const short_digest &Request) {
   auto It = Records.find(Request);
   if (It == Records.end())
     return;
@@ -80,8 +80,8 @@
   Records.erase(It);
 }
 
-std::set<uint64_t> crash_evidence::endsUnder(const short_digest &Request,
-                                             double Now) const {
+std::set<uint64_t> crash_evidence::crashedUpstreams(const short_digest &Request,
+                                                    double Now) const {
   auto It = Records.find(Request);
   if (It == Records.end() || !isCurrent(It->second, Now))
     return {};
--- a/policy/crash_evidence.h
+++ b/policy/crash_evidence.h
@@ -50,7 +50,7 @@
 
 struct crash_evidence_options {
   /// The number of requests for which evidence is held.
-  size_t MostRequests = 4096;
+  size_t MaxRequests = 4096;
   /// The number of recently answered requests that are remembered.
   size_t MaxAnsweredRequests = 1 << 14;
 };
@@ -67,20 +67,21 @@
 
   /// Adds a crash report. Returns false if the report is a duplicate, the
   /// evidence already suffices, or the request was answered recently.
-  bool ended(const crash_report &Report, double Now);
+  bool addCrash(const crash_report &Report, double Now);
   /// Records a complete response to the request and clears the evidence against
   /// it. Returns true if there was any.
-  bool answered(const short_digest &Request, double Now);
+  bool recordResponse(const short_digest &Request, double Now);
   bool answeredRecently(const short_digest &Request, double Now) const {
     return Answered.contains(Request, Now);
   }
   /// Removes all evidence against the request.
-  void forget(const short_digest &Request);
+  void clear(const short_digest &Request);
   /// True if the evidence suffices to quarantine the request.
   bool shouldQuarantine(const short_digest &Request, double Now) const;
   /// The incarnations of the upstreams that crashed while processing the
   /// request.
-  std::set<uint64_t> endsUnder(const short_digest &Request, double Now) const;
+  std::set<uint64_t> crashedUpstreams(const short_digest &Request,
+                                      double Now) const;
   /// All requests whose evidence suffices to quarantine them, latest first.
   std::vector<short_digest> requestsToQuarantine(double Now) const;
   /// The number of requests with evidence, including expired evidence.
--- a/policy/estimate.h
+++ b/policy/estimate.h
@@ -65,7 +65,7 @@
     ++Revision;
   }
   /// A number that increases with every change.
-  uint64_t change() const { return Revision; }
+  uint64_t revision() const { return Revision; }
   void clear() {
     Cells.clear();
     ++Revision;
--- a/policy/model_choice.cpp
+++ b/policy/model_choice.cpp
@@ -47,18 +47,18 @@
 }
 
 double utilityOf(const request_size &Size) {
-  double Tokens = double(Size.ReadTokens) +
-                  double(InputTokensPerOutputToken) * Size.MadeTokens;
+  double Tokens = double(Size.InputTokens) +
+                  double(InputTokensPerOutputToken) * Size.OutputTokens;
   return UtilityPerThousandTokens * std::pow(PriorityFactor, Size.Priority) *
          Tokens / Thousand;
 }
 
-void utility_rate::earned(double NewUtility, double NewSeconds) {
+void utility_rate::add(double NewUtility, double NewSeconds) {
   Utility = UtilityDecay * Utility + NewUtility;
   Seconds = UtilityDecay * Seconds + NewSeconds;
 }
 
-void processing_time_stats::weighed(double Seconds) {
+void processing_time_stats::add(double Seconds) {
   Sum = TimeDecay * Sum + Seconds;
   Squares = TimeDecay * Squares + Seconds * Seconds;
 }
@@ -76,14 +76,14 @@
 // Returns the largest model, never one in the middle: most requests that are
 // too hard for the smallest model are too hard for those as well.
 std::optional<size_t> largerModel(const larger_model_input &Input) {
-  if (Input.Place + 1 >= Input.Models)
+  if (Input.ModelIndex + 1 >= Input.ModelCount)
     return std::nullopt;
   double Gain = poorAnswerProbability(Input.Confidence) * utilityOf(Input.Size);
   if (!Input.InTime)
     Gain *= LateUtilityFactor;
   double Cost =
       Input.LargestCost *
-      (InputTokenCost * Input.Size.ReadTokens + Input.Size.MadeTokens) /
+      (InputTokenCost * Input.Size.InputTokens + Input.Size.OutputTokens) /
       Thousand;
   // The request takes one more slot, for want of which another request like it
   // may be refused.
@@ -91,7 +91,7 @@
   if (Gain <= Cost + Input.LargestSeconds * Input.OpportunityCostPerSecond +
                   RefusalLoss)
     return std::nullopt;
-  return Input.Models - 1;
+  return Input.ModelCount - 1;
 }
 
 } // namespace olivevalve
--- a/policy/model_choice.h
+++ b/policy/model_choice.h
@@ -18,16 +18,16 @@
 
 /// The size of a request, from which its utility is computed.
 struct request_size {
-  uint32_t ReadTokens = 0; ///< Input tokens of the prompt.
-  uint32_t MadeTokens = 1; ///< Expected output tokens.
-  uint32_t Priority = 0;   ///< 0 is the most urgent.
+  uint32_t InputTokens = 0;  ///< Input tokens of the prompt.
+  uint32_t OutputTokens = 1; ///< Expected output tokens.
+  uint32_t Priority = 0;     ///< 0 is the most urgent.
 };
 
 /// The input of largerModel(): what is known once a model has begun to answer.
 /// Models are numbered in the order of the route's list, smallest first.
 struct larger_model_input {
-  size_t Models = 1;     ///< Number of models in the list.
-  size_t Place = 0;      ///< Index of the model that answers.
+  size_t ModelCount = 1; ///< Number of models in the list.
+  size_t ModelIndex = 0; ///< Index of the model that answers.
   double Confidence = 1; ///< Reported by that model, 0 to 1.
   request_size Size;
   /// Cost of the largest model for 1,000 output tokens, in the operator's unit.
@@ -49,7 +49,7 @@
 public:
   /// Adds a request of utility \p NewUtility that takes \p NewSeconds of
   /// upstream time.
-  void earned(double NewUtility, double NewSeconds);
+  void add(double NewUtility, double NewSeconds);
   /// Utility per second; 0 before any request.
   double perSecond() const { return Seconds > 0 ? Utility / Seconds : 0; }
 
@@ -70,7 +70,7 @@
 public:
   /// Adds a request considered for the largest model, which would take
   /// \p Seconds of upstream time.
-  void weighed(double Seconds);
+  void add(double Seconds);
   /// The mean residual time of the request in progress when another one
   /// arrives, in seconds: E[S^2] / E[S], so a few long requests count for more
   /// than many short ones. 0 before any request.
--- a/policy/placement.cpp
+++ b/policy/placement.cpp
@@ -129,11 +129,11 @@
   auto Rank = [&](size_t I) {
     const placed_replica &R = Input.Replicas[I];
     return std::pair(copiesIn(R.DataHall, Name),
-                     int64_t(R.Assigned.size()) - int64_t(R.Room));
+                     int64_t(R.Assigned.size()) - int64_t(R.MaxLoadedVersions));
   };
   for (size_t I = 0; I < Input.Replicas.size(); ++I) {
     const placed_replica &R = Input.Replicas[I];
-    bool Fits = mayHold(R, Name) && R.Assigned.size() < R.Room;
+    bool Fits = mayHold(R, Name) && R.Assigned.size() < R.MaxLoadedVersions;
     if (Fits && (!Best || Rank(I) < Rank(*Best)))
       Best = I;
   }
--- a/policy/placement.h
+++ b/policy/placement.h
@@ -26,7 +26,7 @@
 struct placed_replica {
   std::string Name;
   std::string DataHall;
-  size_t Room = 1;                 ///< Number of versions that it can hold.
+  size_t MaxLoadedVersions = 1;    ///< Number of versions that it can hold.
   std::vector<std::string> Models; ///< Models that it may hold.
   std::set<version_name> Assigned;
   std::set<version_name> Loaded;
--- a/policy/prompt_memory.cpp
+++ b/policy/prompt_memory.cpp
@@ -34,8 +34,8 @@
 
 // Touches the last block first, so that a block is never evicted before the
 // blocks that follow it in the prompt, which are useless without it.
-void prefix_cache_model::sent(uint64_t Upstream,
-                              std::span<const prompt_block> Blocks) {
+void prefix_cache_model::addPrompt(uint64_t Upstream,
+                                   std::span<const prompt_block> Blocks) {
   block_cache &Cache = Caches[Upstream];
   for (size_t I = Blocks.size(); I-- > 0;)
     touch(Cache, Blocks[I]);
@@ -56,8 +56,9 @@
   }
 }
 
-uint32_t prefix_cache_model::kept(uint64_t Upstream,
-                                  std::span<const prompt_block> Blocks) const {
+uint32_t
+prefix_cache_model::cachedTokens(uint64_t Upstream,
+                                 std::span<const prompt_block> Blocks) const {
   auto It = Caches.find(Upstream);
   if (It == Caches.end())
     return 0;
--- a/policy/prompt_memory.h
+++ b/policy/prompt_memory.h
@@ -34,16 +34,17 @@
   void setCapacity(uint64_t Tokens) { CapacityTokens = Tokens; }
   /// Records that the upstream was sent a prompt of these blocks, in the order
   /// of the prompt. Evicts other blocks if the cache is full.
-  void sent(uint64_t Upstream, std::span<const prompt_block> Blocks);
+  void addPrompt(uint64_t Upstream, std::span<const prompt_block> Blocks);
   /// Removes blocks that the upstream may not have processed, because the
   /// request was taken back or failed before its first token.
   void removeBlocks(uint64_t Upstream, std::span<const prompt_block> Blocks);
   /// The number of tokens in the longest cached prefix of the prompt.
-  uint32_t kept(uint64_t Upstream, std::span<const prompt_block> Blocks) const;
+  uint32_t cachedTokens(uint64_t Upstream,
+                        std::span<const prompt_block> Blocks) const;
   /// Removes an upstream that has terminated.
-  void forget(uint64_t Upstream) { Caches.erase(Upstream); }
+  void removeUpstream(uint64_t Upstream) { Caches.erase(Upstream); }
   /// The number of upstreams that have blocks.
-  size_t upstreams() const { return Caches.size(); }
+  size_t upstreamCount() const { return Caches.size(); }
 
 private:
   struct block_cache {
--- a/policy/prompt_pace.cpp
+++ b/policy/prompt_pace.cpp
@@ -54,7 +54,7 @@
   estimated_pace &Pace =
       Paces.try_emplace(Model, estimated_pace{InitialSecondsPerToken * Cost, 0})
           .first->second;
-  double Observed = std::max(0.0, Seconds - FirstTokenSeconds) /
+  double Observed = std::max(0.0, Seconds - FirstTokenOverheadSeconds) /
                     (prefillWork(Tokens) - prefillWork(Cached));
   if (Pace.Observations++ == 0) {
     double Initial = Pace.SecondsPerToken;
--- a/policy/prompt_pace.h
+++ b/policy/prompt_pace.h
@@ -22,7 +22,7 @@
 constexpr uint32_t InputTokensPerOutputToken = 10;
 /// The part of the time to first token on an idle upstream that does not depend
 /// on the length of the prompt.
-constexpr double FirstTokenSeconds = 0.05;
+constexpr double FirstTokenOverheadSeconds = 0.05;
 
 /// Estimates the prefill time per token of each model.
 class prefill_estimator {
--- a/policy/replica_choice.cpp
+++ b/policy/replica_choice.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-bool isReportDue(told_load Reported, told_load Now, uint32_t Slots) {
+bool isReportDue(sidecar_load Reported, sidecar_load Now, uint32_t Slots) {
   uint32_t Step = std::max(1U, Slots / ReportDivisor);
   return distance(Reported.Running, Now.Running) >= Step ||
          distance(Reported.Queued, Now.Queued) >= Step ||
--- a/policy/replica_choice.h
+++ b/policy/replica_choice.h
@@ -54,14 +54,14 @@
 constexpr int MaxMoves = 2;
 
 /// The load of an upstream, as its sidecar reports it to entries.
-struct told_load {
+struct sidecar_load {
   uint32_t Running = 0;
   uint32_t Queued = 0;
 };
 
 /// True if \p Now differs enough from the load that was last \p Reported to
 /// change the choices of entries, so that a new report is due.
-bool isReportDue(told_load Reported, told_load Now, uint32_t Slots);
+bool isReportDue(sidecar_load Reported, sidecar_load Now, uint32_t Slots);
 
 /// True if a request sent now is expected to start without queueing.
 bool hasFreeSlot(const replica_state &State);
--- a/policy/retry_share.cpp
+++ b/policy/retry_share.cpp
@@ -61,13 +61,13 @@
   Tokens = std::min(Tokens + Bounds.Ratio * RequestPart, maxTokens());
 }
 
-bool retry_share::left(double Now) {
+bool retry_share::hasToken(double Now) {
   advanceTo(Now);
   return Tokens >= 1;
 }
 
 bool retry_share::take(double Now) {
-  if (!left(Now))
+  if (!hasToken(Now))
     return false;
   Tokens -= 1;
   return true;
--- a/policy/retry_share.h
+++ b/policy/retry_share.h
@@ -50,7 +50,7 @@
   /// Takes a token for one retry; false if there is none.
   bool take(double Now);
   /// True if a token is available.
-  bool left(double Now);
+  bool hasToken(double Now);
   /// Returns a token that was taken for a retry that is not sent.
   void returnToken(double Now);
 
--- a/policy/service_guard.cpp
+++ b/policy/service_guard.cpp
@@ -68,7 +68,7 @@
     return {rollout_verdict::Revert, "fails more than the version before"};
   if (isSlower(Input.New, Input.Old))
     return {rollout_verdict::Revert, "is slower than the version before"};
-  bool IsCanary = Input.Stand == rollout_phase::Canary;
+  bool IsCanary = Input.Phase == rollout_phase::Canary;
   bool HasAnswers = Input.New.Answers > 0;
   if (Input.ElapsedSeconds >= completeAfterSeconds(Input.DurationSeconds) &&
       !IsCanary)
--- a/policy/service_guard.h
+++ b/policy/service_guard.h
@@ -37,7 +37,7 @@
 
 /// The input of judgeRollout().
 struct rollout_input {
-  rollout_phase Stand = rollout_phase::Canary;
+  rollout_phase Phase = rollout_phase::Canary;
   double ElapsedSeconds = 0; ///< Since the roll-out was ordered.
   /// Time from the order within which the roll-out must be completed or
   /// reverted.
--- a/policy/upstream_choice.cpp
+++ b/policy/upstream_choice.cpp
@@ -84,13 +84,13 @@
   double Seen = 0;
   for (const upstream_view &Each : Upstreams) {
     Seconds += Each.PrefillSeconds;
-    Seen += Each.Seen;
+    Seen += Each.ObservedLoad;
   }
   if (Seen <= 0)
     return;
   for (upstream_view &Each : Upstreams)
     Each.PrefillSeconds +=
-        std::max(0.0, Each.Load - Each.Seen) * Seconds / Seen;
+        std::max(0.0, Each.Load - Each.ObservedLoad) * Seconds / Seen;
 }
 
 double meanPrefillSeconds(const std::vector<upstream_view> &Upstreams) {
@@ -194,11 +194,11 @@
   preferred_upstreams Preferred;
   if (Prompt.SharedPrefillSeconds > 0)
     Preferred = preferredUpstreams(Upstreams, Prompt.SharedPrefixKey);
-  double MinPrefill = Prompt.Seconds;
+  double MinPrefill = Prompt.PrefillSeconds;
   for (const upstream_view &Upstream : Upstreams)
-    MinPrefill = std::min(MinPrefill, Upstream.ReadSeconds);
+    MinPrefill = std::min(MinPrefill, Upstream.UncachedPrefillSeconds);
   double UncachedShared = std::max(
-      0.0, MinPrefill - (Prompt.Seconds - Prompt.SharedPrefillSeconds));
+      0.0, MinPrefill - (Prompt.PrefillSeconds - Prompt.SharedPrefillSeconds));
   std::uniform_real_distribution<double> Jitter(0, JitterSeconds);
   std::optional<size_t> Best;
   double Lowest = 0;
@@ -210,7 +210,8 @@
     if (!Sampled.empty() && !Sampled[I])
       continue;
     double Seconds = Upstream.PrefillSeconds + loadPenaltySeconds(Upstream) +
-                     PrefillWeight * Upstream.ReadSeconds + Jitter(Random);
+                     PrefillWeight * Upstream.UncachedPrefillSeconds +
+                     Jitter(Random);
     if (!Upstream.SameHall)
       Seconds += OtherHallPenaltySeconds;
     if (Preferred.First == I)
--- a/policy/upstream_choice.h
+++ b/policy/upstream_choice.h
@@ -23,7 +23,7 @@
   /// Estimated number of requests that run or are queued at the upstream.
   double Load = 0;
   /// The requests among these whose prefill work is known.
-  double Seen = 0;
+  double ObservedLoad = 0;
   /// False if there is no recent load report; Load then counts only the
   /// requests of this gateway and of the peers it receives updates from.
   bool LoadKnown = true;
@@ -36,14 +36,14 @@
   double PrefillSeconds = 0;
   /// Upstream time for the prefill of the part of this request's prompt that
   /// the upstream does not have in its cache, in seconds.
-  double ReadSeconds = 0;
+  double UncachedPrefillSeconds = 0;
 };
 
 /// The prefill work of a request's prompt; all zero if the request is not for a
 /// model.
 struct prompt_view {
   /// Upstream time for the prefill of the whole prompt, in seconds.
-  double Seconds = 0;
+  double PrefillSeconds = 0;
   /// The same for the prefix that it shares with other prompts.
   double SharedPrefillSeconds = 0;
   /// Hash of the model and the shared prefix; 0 if there is no such prefix.
--- a/policy/version_choice.cpp
+++ b/policy/version_choice.cpp
@@ -155,7 +155,7 @@
 }
 
 cached_choice prepare(const choice_input &Input, const estimates &Estimates) {
-  cached_choice Choice{.EstimatesRevision = Estimates.change(),
+  cached_choice Choice{.EstimatesRevision = Estimates.revision(),
                        .Template = Input.Template,
                        .Account = Input.Account};
   for (const version_candidate &Candidate : Input.Candidates)
@@ -248,7 +248,7 @@
     return chooseSplit(Input, Policy.Weights, Random);
   }
   chosen_arm operator()(const cheapest_policy &Policy) const {
-    return chooseCheapest(Cache.of(Input, Estimates), Policy.ExploreShare,
+    return chooseCheapest(Cache.get(Input, Estimates), Policy.ExploreShare,
                           Random);
   }
   chosen_arm operator()(const cascade_policy &) const {
@@ -264,12 +264,12 @@
   return Input.QualityTarget - EscalationMargin;
 }
 
-const cached_choice &choice_cache::of(const choice_input &Input,
-                                      const estimates &Estimates) {
+const cached_choice &choice_cache::get(const choice_input &Input,
+                                       const estimates &Estimates) {
   uint64_t Hash = hashOf(Input);
   auto It = Choices.find(Hash);
   bool Valid = It != Choices.end() &&
-               It->second.EstimatesRevision == Estimates.change() &&
+               It->second.EstimatesRevision == Estimates.revision() &&
                matches(It->second, Input);
   if (Valid)
     return It->second;
--- a/policy/version_choice.h
+++ b/policy/version_choice.h
@@ -71,8 +71,8 @@
   /// Returns the choice for \p Input. Computes it if it is not in the cache or
   /// if \p Estimates have changed since. The reference is valid until the next
   /// call.
-  const cached_choice &of(const choice_input &Input,
-                          const estimates &Estimates);
+  const cached_choice &get(const choice_input &Input,
+                           const estimates &Estimates);
 
 private:
   absl::flat_hash_map<uint64_t, cached_choice> Choices;
--- a/policy/warming.cpp
+++ b/policy/warming.cpp
@@ -35,7 +35,7 @@
   return double(PerGateway + GetsOneMore);
 }
 
-void warmup_pacer::sent(double Now, double Rate) {
+void warmup_pacer::recordRequest(double Now, double Rate) {
   NextAt = Now + GapMargin / Rate;
 }
 
--- a/policy/warming.h
+++ b/policy/warming.h
@@ -50,9 +50,9 @@
   /// The time from which the next request is allowed.
   double nextAt() const { return NextAt; }
   /// Records a request. \p Rate: in requests per second, above 0.
-  void sent(double Now, double Rate);
+  void recordRequest(double Now, double Rate);
   /// Allows no request before \p Then.
-  void waitUntil(double Then) { NextAt = Then; }
+  void blockUntil(double Then) { NextAt = Then; }
 
 private:
   double NextAt = 0;
--- a/quarantine/crash_reports.cpp
+++ b/quarantine/crash_reports.cpp
@@ -31,7 +31,7 @@
 
 void crash_reports::answered(const short_digest &Request) {
   double Now = steadySeconds();
-  if (Evidence.answered(Request, Now))
+  if (Evidence.recordResponse(Request, Now))
     clearSuspicion(Request, Now);
 }
 
@@ -53,9 +53,9 @@
   double Now = steadySeconds();
   if (Evidence.answeredRecently(Report.Request, Now))
     return clearSuspicion(Report.Request, Now);
-  if (!Evidence.ended(Report, Now))
+  if (!Evidence.addCrash(Report, Now))
     return;
-  size_t Crashes = Evidence.endsUnder(Report.Request, Now).size();
+  size_t Crashes = Evidence.crashedUpstreams(Report.Request, Now).size();
   bool Refused = Crashes >= crash_evidence::CrashesToQuarantine;
   logLine(Refused ? log_level::Warning : log_level::Info,
           "upstream crashed while processing a request",
@@ -71,7 +71,7 @@
 }
 
 bool crash_reports::suspects(const short_digest &Request) const {
-  return !Evidence.endsUnder(Request, steadySeconds()).empty();
+  return !Evidence.crashedUpstreams(Request, steadySeconds()).empty();
 }
 
 bool crash_reports::refuses(const short_digest &Request) const {
@@ -99,7 +99,7 @@
        It != Reports.rend() && News.crashes_size() < MaxPerMessage; ++It) {
     if (It->AcknowledgedAt > 0 && Now < It->AcknowledgedAt + ResendSeconds)
       continue;
-    if (!Evidence.endsUnder(It->Report.Request, Now)
+    if (!Evidence.crashedUpstreams(It->Report.Request, Now)
              .contains(It->Report.Upstream))
       continue;
     It->LastSentAt = SentAt;
@@ -137,7 +137,7 @@
 
 void crash_reports::hear(const wire::crash_news &News) {
   for (const wire::request_name &Name : News.answered())
-    Evidence.answered(digestOf(Name), steadySeconds());
+    Evidence.recordResponse(digestOf(Name), steadySeconds());
   for (const wire::crash_report &Report : News.crashes())
     record(
         {.Request = digestOf(Report.request()), .Upstream = Report.upstream()});
@@ -145,7 +145,7 @@
 
 // A request released from quarantine is judged only by what happens from now
 // on.
-void crash_reports::hear(const wire::quarantine_news &News) {
+void crash_reports::apply(const wire::quarantine_news &News) {
   if (News.revision() <= Revision)
     return;
   Revision = News.revision();
@@ -160,7 +160,7 @@
   }
   for (const short_digest &Request : Before)
     if (!Quarantined.contains(Request)) {
-      Evidence.forget(Request);
+      Evidence.clear(Request);
       logLine(log_level::Warning, "request released from quarantine",
               {{"request", hexOf(Request)}});
     }
--- a/quarantine/crash_reports.h
+++ b/quarantine/crash_reports.h
@@ -39,7 +39,7 @@
   /// The leader has received the message sent at \p SentAt.
   void acknowledged(double SentAt, uint64_t Leader);
   /// Applies the set of quarantined requests from control.
-  void hear(const wire::quarantine_news &News);
+  void apply(const wire::quarantine_news &News);
   /// Fills a message to other processes of the same kind with recent reports.
   void fillRecent(wire::crash_news &News) const;
   /// Applies a message from another process.
--- a/quarantine/crash_watch.cpp
+++ b/quarantine/crash_watch.cpp
@@ -30,10 +30,9 @@
                                            const short_digest &Request) {
   double Now = steadySeconds();
   forgetOld(Now);
-  if (CrashedAt.contains(Upstream.Place))
-    return Reports.report({.Request = Request, .Upstream = Upstream.Place});
-  std::deque<interrupted_request> &Requests =
-      Suspected[Upstream.Place].Requests;
+  if (CrashedAt.contains(Upstream.Key))
+    return Reports.report({.Request = Request, .Upstream = Upstream.Key});
+  std::deque<interrupted_request> &Requests = Suspected[Upstream.Key].Requests;
   Requests.push_back({.Request = Request, .At = Now});
   if (Requests.size() > MaxInterruptedPerUpstream)
     Requests.pop_front();
@@ -42,29 +41,29 @@
 
 void crash_watch::probe(const watched_upstream &Upstream) {
   double Now = steadySeconds();
-  double &ProbedAt = Suspected[Upstream.Place].ProbedAt;
+  double &ProbedAt = Suspected[Upstream.Key].ProbedAt;
   if (ProbedAt > 0 && Now < ProbedAt + ProbeIntervalSeconds)
     return;
   ProbedAt = Now;
   Probes.emplace_back(Loop, Upstream.Address, [this, Upstream](bool Refused) {
-    if (!Refused || CrashedAt.contains(Upstream.Place))
+    if (!Refused || CrashedAt.contains(Upstream.Key))
       return;
-    ended(Upstream, "connection refused");
-    if (OnEnded)
-      OnEnded(Upstream);
+    recordCrash(Upstream, "connection refused");
+    if (OnCrash)
+      OnCrash(Upstream);
   });
 }
 
-void crash_watch::ended(const watched_upstream &Upstream,
-                        std::string_view How) {
+void crash_watch::recordCrash(const watched_upstream &Upstream,
+                              std::string_view How) {
   double Now = steadySeconds();
-  auto It = Suspected.find(Upstream.Place);
+  auto It = Suspected.find(Upstream.Key);
   std::deque<interrupted_request> Requests;
   if (It != Suspected.end()) {
     Requests = std::move(It->second.Requests);
     Suspected.erase(It);
   }
-  if (CrashedAt.try_emplace(Upstream.Place, Now).second) {
+  if (CrashedAt.try_emplace(Upstream.Key, Now).second) {
     Metrics.count("upstreams_ended", How);
     logLine(log_level::Info, "upstream terminated",
             {{"upstream", Upstream.Name},
@@ -73,10 +72,10 @@
   }
   for (const interrupted_request &Each : Requests)
     if (Now < Each.At + InterruptedSeconds)
-      Reports.report({.Request = Each.Request, .Upstream = Upstream.Place});
+      Reports.report({.Request = Each.Request, .Upstream = Upstream.Key});
 }
 
-void crash_watch::answers(uint64_t Key, double SentAt) {
+void crash_watch::recordResponse(uint64_t Key, double SentAt) {
   CrashedAt.erase(Key);
   auto It = Suspected.find(Key);
   if (It == Suspected.end())
--- a/quarantine/crash_watch.h
+++ b/quarantine/crash_watch.h
@@ -22,8 +22,8 @@
 
 /// One incarnation of an upstream.
 struct watched_upstream {
-  uint64_t Place = 0; ///< Key of the incarnation, the same at all processes.
-  std::string Name;   ///< For logs.
+  uint64_t Key = 0; ///< Key of the incarnation, the same at all processes.
+  std::string Name; ///< For logs.
   std::string Address;
 };
 
@@ -37,13 +37,13 @@
                                 const short_digest &Request);
   /// Records that the upstream's process has terminated. \p How: the evidence,
   /// for logs and metrics.
-  void ended(const watched_upstream &Upstream, std::string_view How);
+  void recordCrash(const watched_upstream &Upstream, std::string_view How);
   /// Records a response to a request that was sent at \p SentAt: the upstream
   /// did not crash under requests that it interrupted before then.
-  void answers(uint64_t Key, double SentAt);
+  void recordResponse(uint64_t Key, double SentAt);
 
   /// Called when a probe by this process found that an upstream has crashed.
-  std::function<void(const watched_upstream &)> OnEnded;
+  std::function<void(const watched_upstream &)> OnCrash;
 
 private:
   struct interrupted_request {
--- a/sidecar/sidecar_bills.cpp
+++ b/sidecar/sidecar_bills.cpp
@@ -67,8 +67,8 @@
   if (Work.Outcome.size() <= MaxOutcomeBytes)
     Finish->set_body(Work.Outcome);
   ++OutcomesPending;
-  Control.ask(std::move(Message), OutcomeTimeoutSeconds,
-              [this](const wire::envelope *) { --OutcomesPending; });
+  Control.sendRequest(std::move(Message), OutcomeTimeoutSeconds,
+                      [this](const wire::envelope *) { --OutcomesPending; });
 }
 
 } // namespace olivevalve
--- a/sidecar/sidecar_task.cpp
+++ b/sidecar/sidecar_task.cpp
@@ -62,10 +62,10 @@
   };
   Control.OnGrant = [this](const wire::grant &Grant) {
     Reports.acknowledged(Grant.sent_at(), AnyLeader);
-    Reports.hear(Grant.quarantine());
+    Reports.apply(Grant.quarantine());
   };
   Reports.OnReport = [this] { CrashReportPending = true; };
-  Crashes.OnEnded = [this](const watched_upstream &) {
+  Crashes.OnCrash = [this](const watched_upstream &) {
     EngineCrashedAt = steadySeconds();
   };
   Control.OnConfig = [this] { sendReport(); };
@@ -110,7 +110,7 @@
   if (!Upstream || !Upstream->managed() || !Control.hasLease())
     return;
   auto Placement = Config.objects().find({"placement", Options.Upstream});
-  version_assignment Assignment{.Room = size_t(Upstream->Room)};
+  version_assignment Assignment{.Room = size_t(Upstream->MaxLoadedVersions)};
   if (Placement != Config.objects().end())
     Assignment.Index = Placement->second.Index;
   for (const version_name &Name : Config.versionsOf(*Upstream)) {
@@ -400,7 +400,7 @@
 
 watched_upstream sidecar_task::engine() const {
   size_t Host = Options.EngineUrl.find("//");
-  return {.Place = checksum(Options.Upstream, Incarnation + EngineGeneration),
+  return {.Key = checksum(Options.Upstream, Incarnation + EngineGeneration),
           .Name = Options.Upstream,
           .Address = Options.EngineUrl.substr(
               Host == std::string::npos ? 0 : Host + 2)};
@@ -417,7 +417,7 @@
   short_digest Request = digestOf(Work.Attempt.request());
   if (!Answered)
     return Crashes.recordInterruptedRequest(engine(), Request);
-  Crashes.answers(engine().Place, Work.Started);
+  Crashes.recordResponse(engine().Key, Work.Started);
   if (Work.Status < 300)
     Reports.answered(Request);
 }
@@ -544,7 +544,7 @@
   NextLoadCheckAt = Now + LoadCheckSeconds;
   bool LeaseChanged = Control.hasLease() != HadLease;
   HadLease = Control.hasLease();
-  told_load Load{uint32_t(Running), uint32_t(Queue.size())};
+  sidecar_load Load{uint32_t(Running), uint32_t(Queue.size())};
   if (LeaseChanged || isReportDue(LastSentLoad, Load, uint32_t(slots())))
     sendReport();
   updateVersions();
--- a/sidecar/sidecar_task.h
+++ b/sidecar/sidecar_task.h
@@ -153,8 +153,8 @@
   bool LoadPending = false;
   bool Stopping = false;
   double NextLoadCheckAt = 0;
-  told_load LastSentLoad; ///< Load in the last report to entries.
-  bool HadLease = false;  ///< Whether a lease was held at the last check.
+  sidecar_load LastSentLoad; ///< Load in the last report to entries.
+  bool HadLease = false;     ///< Whether a lease was held at the last check.
   timer Timer;
 };
 
--- a/tests/consensus_test.cpp
+++ b/tests/consensus_test.cpp
@@ -19,7 +19,7 @@
 raft_core singleVoter() {
   raft_core Core({.Id = 1, .Disk = 7}, {}, 100);
   Core.bootstrap("g", 100);
-  raft_output Output = Core.take();
+  raft_output Output = Core.takeOutput();
   Core.synced(Core.lastIndex(), Core.term());
   return Core;
 }
@@ -48,7 +48,7 @@
     Member->set_voter(true);
   }
   raft_durable_state Durable;
-  Durable.Hard = {.Term = 2, .Vote = 0, .Group = "g"};
+  Durable.HardState = {.Term = 2, .Vote = 0, .Group = "g"};
   for (uint64_t Index : {1, 2, 3}) {
     wire::log_entry Entry;
     Entry.set_index(Index);
@@ -74,7 +74,7 @@
   BOOST_TEST(Core.isLeader());
   auto Index = Core.propose("hello");
   BOOST_REQUIRE(Index.has_value());
-  raft_output Output = Core.take();
+  raft_output Output = Core.takeOutput();
   BOOST_TEST(Core.commitIndex() < *Index);
   Core.synced(*Index, Core.term());
   BOOST_TEST(Core.commitIndex() == *Index);
@@ -108,14 +108,14 @@
       Core.step(
           vote(Case.From, Case.Disk, Case.Term, Case.LastIndex, Case.LastTerm),
           100 + Case.After);
-      raft_output Output = Core.take();
+      raft_output Output = Core.takeOutput();
       bool Granted = false;
-      for (const wire::raft &Reply : Output.Late)
+      for (const wire::raft &Reply : Output.AfterSync)
         Granted = Granted || Reply.granted();
       BOOST_TEST(Granted == Case.Granted);
       if (Granted) {
-        BOOST_REQUIRE(Output.Hard.has_value());
-        BOOST_TEST(Output.Hard->Vote == Case.From);
+        BOOST_REQUIRE(Output.HardState.has_value());
+        BOOST_TEST(Output.HardState->Vote == Case.From);
       }
     }
   }
@@ -157,12 +157,12 @@
   /// Writes, sends and hears the answers of follower 2.
   void turn() {
     for (;;) {
-      raft_output Output = Core.take();
+      raft_output Output = Core.takeOutput();
       if (!Output.Entries.empty())
         Core.synced(Output.Entries.back().index(),
                     Output.Entries.back().term());
-      std::vector<wire::raft> Sent = std::move(Output.Early);
-      Sent.insert(Sent.end(), Output.Late.begin(), Output.Late.end());
+      std::vector<wire::raft> Sent = std::move(Output.Immediate);
+      Sent.insert(Sent.end(), Output.AfterSync.begin(), Output.AfterSync.end());
       if (Sent.empty())
         return;
       for (const wire::raft &Message : Sent)
@@ -252,9 +252,9 @@
 BOOST_AUTO_TEST_CASE(votes_once_a_term) {
   raft_core Core({.Id = 1, .Disk = 10}, followerDisk(), 100);
   Core.step(vote(2, 20, 3, 3, 2), 105);
-  Core.take();
+  Core.takeOutput();
   Core.step(vote(3, 30, 3, 3, 2), 105);
-  for (const wire::raft &Reply : Core.take().Late)
+  for (const wire::raft &Reply : Core.takeOutput().AfterSync)
     BOOST_TEST(!Reply.granted());
 }
 
@@ -262,7 +262,7 @@
   raft_core Core({.Id = 1, .Disk = 11}, followerDisk(), 100);
   for (double Now = 100; Now < 130; Now += 0.1)
     Core.tick(Now);
-  BOOST_TEST(Core.take().Early.empty());
+  BOOST_TEST(Core.takeOutput().Immediate.empty());
   BOOST_TEST(!Core.isMember());
 }
 
@@ -276,7 +276,7 @@
   for (int I = 1; I <= Entries; ++I) {
     raft_output Output;
     if (I == 1)
-      Output.Hard = raft_hard_state{.Term = 5, .Vote = 2, .Group = "g"};
+      Output.HardState = raft_hard_state{.Term = 5, .Vote = 2, .Group = "g"};
     wire::log_entry Entry;
     Entry.set_index(uint64_t(I));
     Entry.set_term(5);
@@ -292,8 +292,8 @@
   auto Storage = raft_storage::open(Folder.path() + "/d");
   BOOST_REQUIRE(Storage.ok());
   raft_durable_state Durable = (*Storage)->takeDurableState();
-  BOOST_TEST(Durable.Hard.Term == 5U);
-  BOOST_TEST(Durable.Hard.Vote == 2U);
+  BOOST_TEST(Durable.HardState.Term == 5U);
+  BOOST_TEST(Durable.HardState.Vote == 2U);
   BOOST_TEST(Durable.Entries.size() == 20U);
 }
 
@@ -388,7 +388,7 @@
         .Index = 8, .Term = 5, .Members = "", .Image = "image"};
     std::vector<wire::log_entry> Tail(Before.Entries.begin() + 8,
                                       Before.Entries.end());
-    BOOST_REQUIRE((*Storage)->compact(Snapshot, Before.Hard, Tail).ok());
+    BOOST_REQUIRE((*Storage)->compact(Snapshot, Before.HardState, Tail).ok());
   }
   auto Storage = raft_storage::open(Path);
   BOOST_REQUIRE(Storage.ok());
@@ -396,7 +396,7 @@
   BOOST_TEST(Durable.Snapshot.Index == 8U);
   BOOST_TEST(Durable.Snapshot.Image == "image");
   BOOST_TEST(Durable.Entries.size() == 2U);
-  BOOST_TEST(Durable.Hard.Vote == 2U);
+  BOOST_TEST(Durable.HardState.Vote == 2U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/explorer.cpp
+++ b/tests/explorer.cpp
@@ -58,17 +58,17 @@
 void explorer::crash(vm &Vm, bool LoseDisk) {
   ++Result.Crashes;
   if (Options.ForgetVotes)
-    Vm.Disk.Synced.Hard = {.Group = Vm.Disk.Synced.Hard.Group};
+    Vm.Disk.Synced.HardState = {.Group = Vm.Disk.Synced.HardState.Group};
   if (Options.ForgetEntries && !Vm.Disk.Synced.Entries.empty())
     Vm.Disk.Synced.Entries.pop_back();
   if (LoseDisk) {
     ++Result.LostDisks;
-    std::string Group = Vm.Disk.Synced.Hard.Group;
+    std::string Group = Vm.Disk.Synced.HardState.Group;
     uint64_t Identity = Vm.Disk.Identity;
     Vm.Disk = {};
     Vm.Disk.Identity = Options.KeepIdentity ? Identity : NextIdentity++;
     if (Options.KeepIdentity)
-      Vm.Disk.Synced.Hard.Group = Group;
+      Vm.Disk.Synced.HardState.Group = Group;
   }
   Vm.Core.reset();
   Vm.DownUntil = Now + 4 * chance();
@@ -76,8 +76,8 @@
 
 void explorer::persist(vm &Vm, const raft_output &Output) {
   raft_durable_state &Durable = Vm.Disk.Written;
-  if (Output.Hard)
-    Durable.Hard = *Output.Hard;
+  if (Output.HardState)
+    Durable.HardState = *Output.HardState;
   if (Output.Install) {
     Durable.Snapshot = *Output.Install;
     Durable.Entries.clear();
@@ -94,13 +94,13 @@
 // the sync: then the disk keeps what was synced before.
 void explorer::pump(vm &Vm) {
   for (;;) {
-    raft_output Output = Vm.Core->take();
-    bool Idle = !Output.needsSync() && Output.Early.empty() &&
-                Output.Late.empty() && Output.Committed.empty();
+    raft_output Output = Vm.Core->takeOutput();
+    bool Idle = !Output.needsSync() && Output.Immediate.empty() &&
+                Output.AfterSync.empty() && Output.Committed.empty();
     if (Idle)
       return;
-    if (!Output.Hard)
-      for (const wire::raft &Message : Output.Early)
+    if (!Output.HardState)
+      for (const wire::raft &Message : Output.Immediate)
         post(Message);
     persist(Vm, Output);
     if (Output.needsSync() && chance() < 0.002)
@@ -109,10 +109,10 @@
     if (!Output.Entries.empty())
       Vm.Core->synced(Output.Entries.back().index(),
                       Output.Entries.back().term());
-    if (Output.Hard)
-      for (const wire::raft &Message : Output.Early)
+    if (Output.HardState)
+      for (const wire::raft &Message : Output.Immediate)
         post(Message);
-    for (const wire::raft &Message : Output.Late)
+    for (const wire::raft &Message : Output.AfterSync)
       post(Message);
     applyCommitted(Vm, Output);
   }
@@ -260,7 +260,7 @@
   if (Vm.Core->snapshot().Index != Vm.AppliedIndex)
     return;
   ++Result.Snapshots;
-  raft_durable_state Durable{.Hard = Vm.Disk.Synced.Hard,
+  raft_durable_state Durable{.HardState = Vm.Disk.Synced.HardState,
                              .Snapshot = Vm.Core->snapshot(),
                              .Entries = Vm.Core->entriesAfterSnapshot()};
   Vm.Disk.Synced = Vm.Disk.Written = Durable;
--- a/tests/flood_test.cpp
+++ b/tests/flood_test.cpp
@@ -65,8 +65,8 @@
     FreeAt.assign(Upstreams, std::vector<double>(Slots, 0));
     EndsOf.resize(Upstreams);
     Told.assign(Upstreams, std::vector<std::deque<told_load>>(Options.Halls));
-    Pace.asked(TargetSeconds);
-    Pace.ended(HoldSeconds);
+    Pace.recordRequest(TargetSeconds);
+    Pace.recordResponse(HoldSeconds);
   }
 
   void play() {
@@ -188,11 +188,11 @@
                        .LoadKnown = Load.IsAll,
                        .Slots = Slots,
                        .SameHall = I % Options.Halls == hallOf(Gateway),
-                       .ReadSeconds = ReadSeconds});
+                       .UncachedPrefillSeconds = ReadSeconds});
     }
     estimateUnobservedLoad(Views);
-    size_t Place =
-        *chooseEarliestFirstToken(Views, {.Seconds = ReadSeconds}, Random);
+    size_t Place = *chooseEarliestFirstToken(
+        Views, {.PrefillSeconds = ReadSeconds}, Random);
     double Wait = expectedSlotWait(Views, Pace.meanSlotSeconds());
     double Chance =
         refusalProbability(Wait, Pace.shortestTargetSeconds(), Priority);
--- a/tests/measure_routing.cpp
+++ b/tests/measure_routing.cpp
@@ -36,7 +36,7 @@
       Watch->OnRollouts = [](const wire::notice &) {};
       Watch->OnStaying = [](uint64_t) {};
       Watch->OnGateways = [](uint32_t) {};
-      Watch->OnNewsAddresses = [](const std::vector<std::string> &) {};
+      Watch->OnPeerAddresses = [](const std::vector<std::string> &) {};
       Watches.push_back(std::move(Watch));
     }
   }
--- a/tests/repeats_test.cpp
+++ b/tests/repeats_test.cpp
@@ -369,7 +369,7 @@
   constexpr retry_window_bounds SlackOnly{
       .Ratio = 0, .Slack = 10, .WindowSeconds = 10};
   retry_share Share(SlackOnly, 1);
-  BOOST_TEST(!Share.left(5));
+  BOOST_TEST(!Share.hasToken(5));
   std::vector<double> Taken;
   for (double Now = 5; Now < 205; Now += 0.5)
     while (Share.take(Now))
@@ -378,7 +378,7 @@
     BOOST_TEST(double(within(Taken, To - SlackOnly.WindowSeconds, To)) <=
                SlackOnly.Slack);
   BOOST_TEST(Taken.size() > 50);
-  BOOST_TEST(Share.left(1e6));
+  BOOST_TEST(Share.hasToken(1e6));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/admission_test.cpp
+++ b/tests/unit/admission_test.cpp
@@ -13,7 +13,8 @@
 std::vector<upstream_view> upstreamsWith(const std::vector<double> &Loads) {
   std::vector<upstream_view> Views;
   for (double Load : Loads)
-    Views.push_back({.Id = "u", .Load = Load, .Seen = Load, .Slots = 16});
+    Views.push_back(
+        {.Id = "u", .Load = Load, .ObservedLoad = Load, .Slots = 16});
   return Views;
 }
 
@@ -112,16 +113,16 @@
 BOOST_AUTO_TEST_CASE(learns_how_long_answers_hold_a_slot) {
   service_stats Pace;
   BOOST_TEST(Pace.meanSlotSeconds() == 0);
-  Pace.ended(1);
+  Pace.recordResponse(1);
   BOOST_TEST(Pace.meanSlotSeconds() == 1);
   for (int I = 0; I < 500; ++I)
-    Pace.ended(2);
+    Pace.recordResponse(2);
   BOOST_TEST(std::abs(Pace.meanSlotSeconds() - 2) < 0.01);
-  Pace.ended(-5); // A clock that jumped.
+  Pace.recordResponse(-5); // A clock that jumped.
   BOOST_TEST(Pace.meanSlotSeconds() > 1.9);
-  Pace.asked(2);
-  Pace.asked(1.5);
-  Pace.asked(2);
+  Pace.recordRequest(2);
+  Pace.recordRequest(1.5);
+  Pace.recordRequest(2);
   BOOST_TEST(Pace.shortestTargetSeconds() == 1.5);
 }
 
@@ -134,7 +135,7 @@
   Views[3].LoadKnown = false;
   // Of each of the others half is seen.
   for (size_t I = 0; I < 3; ++I)
-    Views[I].Seen = 4;
+    Views[I].ObservedLoad = 4;
   estimateUnobservedLoad(Views);
   BOOST_TEST(Views[0].Load == 8);
   BOOST_TEST(Views[3].Load == 8);
@@ -167,7 +168,8 @@
     Views[0].Load = Load - 3; // Seems emptiest.
     int First = 0;
     for (int I = 0; I < 1000; ++I)
-      First += *chooseEarliestFirstToken(Views, {.Seconds = 0.1}, Random) == 0;
+      First += *chooseEarliestFirstToken(Views, {.PrefillSeconds = 0.1},
+                                         Random) == 0;
     return First;
   };
   BOOST_TEST(Chosen(24) < 250);
--- a/tests/unit/control_test.cpp
+++ b/tests/unit/control_test.cpp
@@ -30,10 +30,10 @@
 
 BOOST_AUTO_TEST_CASE(tallies_of_all_starts_add_up_however_often_they_are_told) {
   gateway_table Table;
-  Table.watched("a", watchOf(1, 10, 1, "v1"), 0);
-  Table.watched("a", watchOf(1, 20, 2, "v1"), 1);
-  Table.watched("a", watchOf(2, 5, 0, "v1"), 2); // Started anew.
-  Table.watched("b", watchOf(3, 7, 7, "v2"), 2);
+  Table.recordWatch("a", watchOf(1, 10, 1, "v1"), 0);
+  Table.recordWatch("a", watchOf(1, 20, 2, "v1"), 1);
+  Table.recordWatch("a", watchOf(2, 5, 0, "v1"), 2); // Started anew.
+  Table.recordWatch("b", watchOf(3, 7, 7, "v2"), 2);
   BOOST_TEST(Table.answersOf("llm", "v1").Answers == 25U);
   BOOST_TEST(Table.answersOf("llm", "v1").Failures == 2U);
   BOOST_TEST(Table.answersOfOthers("llm", "v2").Answers == 25U);
@@ -51,7 +51,7 @@
   double Shares = 0; // Of what all share, by the numbers that they were told.
   for (uint64_t Id = 1; Id <= 10; ++Id, Now += SecondsPerQuestion) {
     std::string Peer = "gateway/" + std::to_string(Id);
-    Table.watched(Peer, watchOf(Id, 0, 0, "v1"), Now);
+    Table.recordWatch(Peer, watchOf(Id, 0, 0, "v1"), Now);
     auto Count = Table.count(Now);
     Shares += Count ? 1.0 / *Count : 0;
   }
@@ -70,7 +70,7 @@
     Watch.set_node(Node);
     Watch.set_news_address(Node + ":1");
     std::string Peer = "gateway/" + std::to_string(Incarnation);
-    Table.watched(Peer, Watch, Now);
+    Table.recordWatch(Peer, Watch, Now);
     wire::notice Notice;
     Table.fillAddresses(Peer, Notice);
     return Notice.news_addresses_size();
@@ -87,8 +87,8 @@
   gateway_table Table;
   wire::watch Watch = watchOf(1, 0, 0, "v1");
   Watch.add_staying(7);
-  Table.watched("a", Watch, 1);
-  Table.watched("b", watchOf(2, 0, 0, "v1"), 1);
+  Table.recordWatch("a", Watch, 1);
+  Table.recordWatch("b", watchOf(2, 0, 0, "v1"), 1);
   auto Told = [&](const char *Peer, double Now) {
     wire::notice Notice;
     Table.fillStaying(Peer, Now, Notice);
@@ -103,7 +103,7 @@
 
 BOOST_AUTO_TEST_CASE(a_roll_out_is_judged_by_what_was_counted_since_its_order) {
   gateway_table Gateways;
-  Gateways.watched("a", watchOf(1, 100, 90, "v1"), 0);
+  Gateways.recordWatch("a", watchOf(1, 100, 90, "v1"), 0);
   rollout_store Book;
   wire::rollout Order;
   Order.set_service("llm");
@@ -112,14 +112,14 @@
   BOOST_TEST(Book.begin(Order, 1000).ok());
   rollout_driver Driver;
   BOOST_TEST(Driver.steps(Book, Gateways, 50, 1000).empty());
-  Gateways.watched("a", watchOf(1, 200, 91, "v1"), 51);
-  Gateways.watched("b", watchOf(2, 20, 10, "v2"), 51);
+  Gateways.recordWatch("a", watchOf(1, 200, 91, "v1"), 51);
+  Gateways.recordWatch("b", watchOf(2, 20, 10, "v2"), 51);
   auto Steps = Driver.steps(Book, Gateways, 52, 1002);
   BOOST_REQUIRE(Steps.size() == 1U);
   BOOST_TEST(Steps[0].to() == wire::REVERTED);
   // A new leader learns from the order's time how far it is.
   rollout_driver Next;
-  Gateways.watched("b", watchOf(2, 40, 0, "v2"), 500);
+  Gateways.recordWatch("b", watchOf(2, 40, 0, "v2"), 500);
   BOOST_TEST(Next.steps(Book, Gateways, 500, 1005).empty());
   Steps = Next.steps(Book, Gateways, 515, 1020);
   BOOST_REQUIRE(Steps.size() == 1U);
@@ -155,14 +155,14 @@
 BOOST_AUTO_TEST_CASE(is_told_whole_first_and_by_changes_then) {
   upstream_history History;
   BOOST_TEST(History.revision() == 0U);
-  BOOST_TEST(History.take({upstreamOf("a"), upstreamOf("b")}));
-  BOOST_TEST(!History.take({upstreamOf("b"), upstreamOf("a")}));
-  wire::upstream_list First = History.since(0);
+  BOOST_TEST(History.setList({upstreamOf("a"), upstreamOf("b")}));
+  BOOST_TEST(!History.setList({upstreamOf("b"), upstreamOf("a")}));
+  wire::upstream_list First = History.changesSince(0);
   BOOST_TEST(First.whole());
   BOOST_TEST(First.upstreams_size() == 2);
   uint64_t Held = History.revision();
-  BOOST_TEST(History.take({upstreamOf("a", true), upstreamOf("c")}));
-  wire::upstream_list Next = History.since(Held);
+  BOOST_TEST(History.setList({upstreamOf("a", true), upstreamOf("c")}));
+  wire::upstream_list Next = History.changesSince(Held);
   BOOST_TEST(!Next.whole());
   BOOST_TEST(Next.since() == Held);
   BOOST_TEST(Next.upstreams_size() == 2);
@@ -179,14 +179,14 @@
     for (char Id = 'a'; Id < 'k'; ++Id)
       if (Random() % 3 != 0)
         Listed.push_back(upstreamOf(std::string(1, Id), Random() % 4 == 0));
-    History.take(Listed);
+    History.setList(Listed);
     held_list Now;
-    takeIn(Now, History.since(0));
+    takeIn(Now, History.changesSince(0));
     BOOST_TEST(Now.size() == Listed.size());
     // Some have missed a few changes, some more than are kept.
     for (auto &[Revision, Held] : Holders)
       if (Random() % 20 == 0 || Round == 119) {
-        takeIn(Held, History.since(Revision));
+        takeIn(Held, History.changesSince(Revision));
         Revision = History.revision();
         BOOST_TEST((Held == Now));
       }
@@ -197,14 +197,14 @@
 BOOST_AUTO_TEST_CASE(is_told_whole_to_a_holder_of_another_list) {
   upstream_history Old;
   upstream_history New;
-  Old.take({upstreamOf("a")});
-  New.take({upstreamOf("b")});
+  Old.setList({upstreamOf("a")});
+  New.setList({upstreamOf("b")});
   uint64_t Before = New.revision();
-  New.take({upstreamOf("b"), upstreamOf("c")});
-  BOOST_TEST(New.since(Old.revision()).whole());
-  BOOST_TEST(Old.since(New.revision()).whole());
-  BOOST_TEST(New.since(New.revision() + 1).whole());
-  BOOST_TEST(!New.since(Before).whole());
+  New.setList({upstreamOf("b"), upstreamOf("c")});
+  BOOST_TEST(New.changesSince(Old.revision()).whole());
+  BOOST_TEST(Old.changesSince(New.revision()).whole());
+  BOOST_TEST(New.changesSince(New.revision() + 1).whole());
+  BOOST_TEST(!New.changesSince(Before).whole());
 }
 
 BOOST_AUTO_TEST_CASE(is_not_told_again_by_a_new_leader) {
@@ -212,25 +212,25 @@
   for (int I = 0; I < 3000; ++I)
     Listed.push_back(upstreamOf("i-" + std::to_string(I)));
   upstream_history Old;
-  Old.take(Listed);
+  Old.setList(Listed);
   upstream_copy Copy;
-  BOOST_TEST(Copy.take(Old.since(0)));
+  BOOST_TEST(Copy.apply(Old.changesSince(0)));
   BOOST_TEST(Copy.revision() == Old.revision());
   // Another control VM reads the same list, in another order.
   upstream_history New;
   std::shuffle(Listed.begin(), Listed.end(), std::mt19937_64(2));
-  New.take(Listed);
+  New.setList(Listed);
   BOOST_TEST(New.revision() == Copy.revision());
   // And so does a gateway that asked the platform itself.
   upstream_copy Own;
   Own.set(Listed);
   BOOST_TEST(Own.revision() == New.revision());
   Listed.front().Leaving = true;
-  New.take(Listed);
-  wire::upstream_list Told = New.since(Copy.revision());
+  New.setList(Listed);
+  wire::upstream_list Told = New.changesSince(Copy.revision());
   BOOST_TEST(!Told.whole());
   BOOST_TEST(Told.upstreams_size() == 1);
-  BOOST_TEST(Copy.take(Told));
+  BOOST_TEST(Copy.apply(Told));
   BOOST_TEST(Copy.revision() == New.revision());
 }
 
@@ -247,20 +247,20 @@
                       .Slots = 128,
                       .StartedMs = 1777922648118 + Random() % 100000});
   upstream_history History;
-  History.take(Listed);
-  wire::upstream_list Told = History.since(0);
+  History.setList(Listed);
+  wire::upstream_list Told = History.changesSince(0);
   // 70 when each entry named all in text.
   BOOST_TEST(Told.ByteSizeLong() < 40 * Listed.size());
   upstream_copy Copy;
-  BOOST_TEST(Copy.take(Told));
+  BOOST_TEST(Copy.apply(Told));
   BOOST_TEST(Copy.revision() == History.revision());
 }
 
 // Whatever bytes come, nothing is half taken in.
 BOOST_AUTO_TEST_CASE(is_taken_in_whole_or_not_at_all) {
   upstream_history History;
-  History.take({upstreamOf("a"), upstreamOf("b"), upstreamOf("c")});
-  std::string Bytes = History.since(0).SerializeAsString();
+  History.setList({upstreamOf("a"), upstreamOf("b"), upstreamOf("c")});
+  std::string Bytes = History.changesSince(0).SerializeAsString();
   std::mt19937_64 Random(4);
   for (int Round = 0; Round < 20000; ++Round) {
     std::string Bent = Bytes;
@@ -272,20 +272,20 @@
     upstream_copy Copy;
     Copy.set({upstreamOf("z")});
     uint64_t Held = Copy.revision();
-    if (!Copy.take(Told))
+    if (!Copy.apply(Told))
       BOOST_TEST(Copy.revision() == Held);
   }
 }
 
 BOOST_AUTO_TEST_CASE(takes_no_change_of_another_list) {
   upstream_history History;
-  History.take({upstreamOf("a")});
+  History.setList({upstreamOf("a")});
   uint64_t First = History.revision();
-  History.take({upstreamOf("a"), upstreamOf("b")});
+  History.setList({upstreamOf("a"), upstreamOf("b")});
   upstream_copy Copy;
   Copy.set({upstreamOf("c")});
   uint64_t Held = Copy.revision();
-  BOOST_TEST(!Copy.take(History.since(First)));
+  BOOST_TEST(!Copy.apply(History.changesSince(First)));
   BOOST_TEST(Copy.revision() == Held);
   BOOST_TEST(Copy.list().size() == 1U);
 }
--- a/tests/unit/crash_evidence_test.cpp
+++ b/tests/unit/crash_evidence_test.cpp
@@ -86,7 +86,7 @@
     crash_evidence Evidence;
     std::set<uint64_t> Seen;
     for (const crash_report &Each : Reports) {
-      Evidence.ended(Each, 1);
+      Evidence.addCrash(Each, 1);
       Seen.insert(Each.Upstream);
       BOOST_TEST(Evidence.shouldQuarantine(Guilty, 1) == (Seen.size() == 3));
     }
@@ -96,43 +96,43 @@
 BOOST_AUTO_TEST_CASE(are_acquitted_by_one_whole_answer) {
   crash_evidence Evidence;
   BOOST_TEST_CONTEXT("that came before the upstreams ended") {
-    Evidence.answered(Popular, 0);
+    Evidence.recordResponse(Popular, 0);
     for (uint64_t Upstream = 1; Upstream <= 9; ++Upstream)
-      BOOST_TEST(!Evidence.ended({Popular, Upstream}, 1));
+      BOOST_TEST(!Evidence.addCrash({Popular, Upstream}, 1));
     BOOST_TEST(!Evidence.shouldQuarantine(Popular, 1));
   }
   BOOST_TEST_CONTEXT("that came in between") {
     for (uint64_t Upstream = 1; Upstream <= 2; ++Upstream)
-      Evidence.ended({Popular, Upstream}, 100);
-    BOOST_TEST(Evidence.answered(Popular, 101));
-    Evidence.ended({Popular, 3}, 102);
+      Evidence.addCrash({Popular, Upstream}, 100);
+    BOOST_TEST(Evidence.recordResponse(Popular, 101));
+    Evidence.addCrash({Popular, 3}, 102);
     BOOST_TEST(!Evidence.shouldQuarantine(Popular, 102));
   }
   BOOST_TEST_CONTEXT("but not for ever") {
     for (uint64_t Upstream = 4; Upstream <= 6; ++Upstream)
-      Evidence.ended({Popular, Upstream}, 500);
+      Evidence.addCrash({Popular, Upstream}, 500);
     BOOST_TEST(Evidence.shouldQuarantine(Popular, 500));
   }
 }
 
 BOOST_AUTO_TEST_CASE(are_not_held_to_ends_long_past) {
   crash_evidence Evidence;
-  Evidence.ended({Guilty, 1}, 0);
-  Evidence.ended({Guilty, 2}, 1);
-  Evidence.ended({Guilty, 3}, Hour);
+  Evidence.addCrash({Guilty, 1}, 0);
+  Evidence.addCrash({Guilty, 2}, 1);
+  Evidence.addCrash({Guilty, 3}, Hour);
   BOOST_TEST(!Evidence.shouldQuarantine(Guilty, Hour));
-  BOOST_TEST(Evidence.endsUnder(Guilty, Hour).size() == 1U);
+  BOOST_TEST(Evidence.crashedUpstreams(Guilty, Hour).size() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(are_not_pushed_out_by_a_flood_of_strangers) {
-  crash_evidence Evidence({.MostRequests = 100});
-  Evidence.ended({Guilty, 1}, 0);
-  Evidence.ended({Guilty, 2}, 0);
+  crash_evidence Evidence({.MaxRequests = 100});
+  Evidence.addCrash({Guilty, 1}, 0);
+  Evidence.addCrash({Guilty, 2}, 0);
   for (uint64_t I = 0; I < 10000; ++I) {
-    Evidence.ended({stranger(I), 3}, 1 + double(I) * 1e-3);
+    Evidence.addCrash({stranger(I), 3}, 1 + double(I) * 1e-3);
     BOOST_REQUIRE(Evidence.size() <= 100);
   }
-  Evidence.ended({Guilty, 3}, 20);
+  Evidence.addCrash({Guilty, 3}, 20);
   BOOST_TEST(Evidence.shouldQuarantine(Guilty, 20));
   BOOST_TEST(Evidence.requestsToQuarantine(20).size() == 1U);
 }
@@ -152,7 +152,7 @@
       Reports.push_back({Guilty, 100 + Gateway});
     wire::crash_news News = newsOf(Reports);
     BOOST_TEST(News.ByteSizeLong() <= 400U);
-    Keeper.heard(News, 1);
+    Keeper.addReports(News, 1);
   }
   BOOST_TEST(Control.agree(Keeper, 1) == 1U);
   BOOST_TEST(Control.Book.contains(Guilty));
@@ -168,7 +168,7 @@
   for (uint64_t Gateway = 1; Gateway <= 3; ++Gateway) {
     BOOST_TEST(Control.agree(Keeper, double(Gateway)) == 0U);
     for (int Told = 0; Told < 3; ++Told)
-      Keeper.heard(newsOf({{Guilty, Gateway}}), double(Gateway));
+      Keeper.addReports(newsOf({{Guilty, Gateway}}), double(Gateway));
   }
   BOOST_TEST(Control.agree(Keeper, 4) == 1U);
   BOOST_TEST(Control.Book.contains(Guilty));
@@ -181,14 +181,14 @@
 BOOST_AUTO_TEST_CASE(is_left_by_what_some_gateway_answered) {
   quarantine_manager Keeper;
   agreed_quarantine Control;
-  Keeper.heard(newsOf({{Popular, 1}, {Popular, 2}, {Popular, 3}}), 1);
+  Keeper.addReports(newsOf({{Popular, 1}, {Popular, 2}, {Popular, 3}}), 1);
   Control.agree(Keeper, 1);
   BOOST_TEST(Control.Book.contains(Popular));
-  Keeper.heard(newsOfAnswer(Popular), 5);
+  Keeper.addReports(newsOfAnswer(Popular), 5);
   Control.agree(Keeper, 5);
   BOOST_TEST(!Control.Book.contains(Popular));
   BOOST_TEST_CONTEXT("and not entered again by reports told late") {
-    Keeper.heard(newsOf({{Popular, 1}, {Popular, 2}, {Popular, 3}}), 6);
+    Keeper.addReports(newsOf({{Popular, 1}, {Popular, 2}, {Popular, 3}}), 6);
     Control.agree(Keeper, 8);
     BOOST_TEST(!Control.Book.contains(Popular));
   }
@@ -198,7 +198,7 @@
   quarantine_manager Keeper;
   agreed_quarantine Control;
   auto Convict = [&](double Now) {
-    Keeper.heard(newsOf({{Guilty, 1}, {Guilty, 2}, {Guilty, 3}}), Now);
+    Keeper.addReports(newsOf({{Guilty, 1}, {Guilty, 2}, {Guilty, 3}}), Now);
     Control.agree(Keeper, Now);
   };
   Convict(1);
@@ -233,14 +233,14 @@
 
 BOOST_AUTO_TEST_CASE(keeps_the_newest_when_it_is_full) {
   quarantine_store Book;
-  for (uint64_t I = 0; I < 2 * quarantine_store::MostRequests; ++I) {
+  for (uint64_t I = 0; I < 2 * quarantine_store::MaxRequests; ++I) {
     wire::quarantine_change Change;
     fillName(stranger(I), *Change.mutable_add()->mutable_request());
     BOOST_TEST(Book.apply(Change, 0));
   }
-  BOOST_TEST(Book.all().size() == quarantine_store::MostRequests);
+  BOOST_TEST(Book.all().size() == quarantine_store::MaxRequests);
   BOOST_TEST(!Book.contains(stranger(0)));
-  BOOST_TEST(Book.contains(stranger(2 * quarantine_store::MostRequests - 1)));
+  BOOST_TEST(Book.contains(stranger(2 * quarantine_store::MaxRequests - 1)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
@@ -253,13 +253,13 @@
 public:
   // Nothing is asked of it in these tests: the loop does not run.
   static watched_upstream upstreamAt(uint64_t Place) {
-    return {.Place = Place,
+    return {.Key = Place,
             .Name = "i-" + std::to_string(Place),
             .Address = "127.0.0.1:1"};
   }
   void endsUnder(const short_digest &Request, uint64_t Place) {
     Watch.recordInterruptedRequest(upstreamAt(Place), Request);
-    Watch.ended(upstreamAt(Place), "test");
+    Watch.recordCrash(upstreamAt(Place), "test");
   }
   struct ev_loop *Loop = ev_default_loop(0);
   metrics Metrics;
@@ -282,7 +282,7 @@
 BOOST_AUTO_TEST_CASE(are_held_against_what_breaks_off_after_them_too) {
   watched_world World;
   for (uint64_t Place = 1; Place <= 3; ++Place) {
-    World.Watch.ended(World.upstreamAt(Place), "test");
+    World.Watch.recordCrash(World.upstreamAt(Place), "test");
     World.Watch.recordInterruptedRequest(World.upstreamAt(Place), Guilty);
   }
   BOOST_TEST(World.Reports.refuses(Guilty));
@@ -292,8 +292,8 @@
   watched_world World;
   for (uint64_t Place = 1; Place <= 5; ++Place) {
     World.Watch.recordInterruptedRequest(World.upstreamAt(Place), Guilty);
-    World.Watch.answers(Place, steadySeconds() + 1);
-    World.Watch.ended(World.upstreamAt(Place), "test");
+    World.Watch.recordResponse(Place, steadySeconds() + 1);
+    World.Watch.recordCrash(World.upstreamAt(Place), "test");
   }
   BOOST_TEST(!World.Reports.refuses(Guilty));
 }
@@ -321,7 +321,7 @@
   News.set_revision(5);
   fillName(Popular, *News.add_requests()->mutable_request());
   fillName(Guilty, *News.add_requests()->mutable_request());
-  World.Reports.hear(News);
+  World.Reports.apply(News);
   BOOST_TEST(!World.Reports.refuses(Popular));
   BOOST_TEST(World.Reports.refuses(Guilty));
   BOOST_TEST_CONTEXT("and control is told") {
@@ -334,13 +334,13 @@
   BOOST_TEST_CONTEXT("older news change nothing") {
     wire::quarantine_news Old;
     Old.set_revision(4);
-    World.Reports.hear(Old);
+    World.Reports.apply(Old);
     BOOST_TEST(World.Reports.refuses(Guilty));
   }
   BOOST_TEST_CONTEXT("news that let go do") {
     wire::quarantine_news Free;
     Free.set_revision(6);
-    World.Reports.hear(Free);
+    World.Reports.apply(Free);
     BOOST_TEST(!World.Reports.refuses(Guilty));
   }
 }
--- a/tests/unit/evacuation_test.cpp
+++ b/tests/unit/evacuation_test.cpp
@@ -79,12 +79,12 @@
 
 BOOST_AUTO_TEST_CASE(are_not_undone_by_news_that_come_late) {
   evacuated_halls Halls;
-  BOOST_TEST(Halls.hear(newsOf(2, {"lac"})));
-  BOOST_TEST(!Halls.hear(newsOf(1, {})));
-  BOOST_TEST(!Halls.hear(newsOf(2, {"charguia"})));
-  BOOST_TEST(!Halls.hear({}));
+  BOOST_TEST(Halls.applyUpdate(newsOf(2, {"lac"})));
+  BOOST_TEST(!Halls.applyUpdate(newsOf(1, {})));
+  BOOST_TEST(!Halls.applyUpdate(newsOf(2, {"charguia"})));
+  BOOST_TEST(!Halls.applyUpdate({}));
   BOOST_TEST(Halls.contains("lac"));
-  BOOST_TEST(Halls.hear(newsOf(3, {})));
+  BOOST_TEST(Halls.applyUpdate(newsOf(3, {})));
   BOOST_TEST(!Halls.contains("lac"));
 }
 
--- a/tests/unit/gateway_test.cpp
+++ b/tests/unit/gateway_test.cpp
@@ -50,7 +50,7 @@
     Views.push_back({.Id = Names[Views.size()],
                      .Load = Load,
                      .Slots = 10,
-                     .ReadSeconds = ReadSeconds});
+                     .UncachedPrefillSeconds = ReadSeconds});
   return Views;
 }
 
@@ -109,8 +109,9 @@
   Fewer.pop_back();
   std::set<size_t> Used;
   for (uint64_t Key = 0; Key < 200; ++Key) {
-    prompt_view Prompt{
-        .Seconds = 0.3, .SharedPrefillSeconds = 0.2, .SharedPrefixKey = Key};
+    prompt_view Prompt{.PrefillSeconds = 0.3,
+                       .SharedPrefillSeconds = 0.2,
+                       .SharedPrefixKey = Key};
     size_t Place = *chooseEarliestFirstToken(All, Prompt, Random);
     BOOST_TEST(*chooseEarliestFirstToken(All, Prompt, Random) == Place);
     if (Place < Fewer.size())
@@ -124,7 +125,7 @@
   std::mt19937_64 Random(1);
   auto Views = views({1, 1, 1}, 0.3);
   prompt_view Prompt{
-      .Seconds = 0.3, .SharedPrefillSeconds = 0.2, .SharedPrefixKey = 5};
+      .PrefillSeconds = 0.3, .SharedPrefillSeconds = 0.2, .SharedPrefixKey = 5};
   size_t Home = *chooseEarliestFirstToken(Views, Prompt, Random);
   Views[Home].PrefillSeconds = 1;
   BOOST_TEST(*chooseEarliestFirstToken(Views, Prompt, Random) != Home);
@@ -140,7 +141,7 @@
   std::mt19937_64 Random(1);
   auto Views = views({1, 1, 1});
   Views[1].SameHall = true;
-  prompt_view Prompt{.Seconds = 0.1};
+  prompt_view Prompt{.PrefillSeconds = 0.1};
   for (int I = 0; I < 50; ++I)
     BOOST_TEST(*chooseEarliestFirstToken(Views, Prompt, Random) == 1U);
   Views[1].PrefillSeconds = 0.2;
@@ -150,12 +151,12 @@
 BOOST_AUTO_TEST_CASE(goes_where_the_prompt_is_kept_unless_that_waits_too_long) {
   std::mt19937_64 Random(1);
   auto Views = views({1, 1, 1, 1});
-  prompt_view Prompt{.Seconds = 0.3, .SharedPrefillSeconds = 0.2};
+  prompt_view Prompt{.PrefillSeconds = 0.3, .SharedPrefillSeconds = 0.2};
   for (uint64_t Key = 0; Key < 50; ++Key) {
     Prompt.SharedPrefixKey = Key;
     for (upstream_view &View : Views)
-      View.ReadSeconds = 0.3;
-    Views[2].ReadSeconds = 0.1;
+      View.UncachedPrefillSeconds = 0.3;
+    Views[2].UncachedPrefillSeconds = 0.1;
     Views[2].PrefillSeconds = 0.3;
     BOOST_TEST(*chooseEarliestFirstToken(Views, Prompt, Random) == 2U);
     Views[2].PrefillSeconds = 1;
@@ -170,9 +171,10 @@
   auto Views = views({1, 1, 1, 1});
   // All keep the first level; none the second, which the key names.
   for (upstream_view &View : Views)
-    View.ReadSeconds = 0.2;
-  prompt_view Prompt{
-      .Seconds = 0.3, .SharedPrefillSeconds = 0.25, .SharedPrefixKey = 7};
+    View.UncachedPrefillSeconds = 0.2;
+  prompt_view Prompt{.PrefillSeconds = 0.3,
+                     .SharedPrefillSeconds = 0.25,
+                     .SharedPrefixKey = 7};
   size_t Place = *chooseEarliestFirstToken(Views, Prompt, Random);
   for (int I = 0; I < 50; ++I)
     BOOST_TEST(*chooseEarliestFirstToken(Views, Prompt, Random) == Place);
@@ -243,46 +245,46 @@
 
 BOOST_AUTO_TEST_CASE(knows_what_was_sent_where) {
   prefix_cache_model Memory;
-  BOOST_TEST(Memory.kept(Home, Review) == 0U);
-  Memory.sent(Home, Review);
-  BOOST_TEST(Memory.kept(Home, Review) == 9200U);
-  BOOST_TEST(Memory.kept(Elsewhere, Review) == 0U);
+  BOOST_TEST(Memory.cachedTokens(Home, Review) == 0U);
+  Memory.addPrompt(Home, Review);
+  BOOST_TEST(Memory.cachedTokens(Home, Review) == 9200U);
+  BOOST_TEST(Memory.cachedTokens(Elsewhere, Review) == 0U);
   // Another session of the same subject, and another subject.
-  BOOST_TEST(Memory.kept(Home, std::vector<prompt_block>{{11, 2500},
-                                                         {22, 3800}}) == 2500U);
+  BOOST_TEST(Memory.cachedTokens(Home, std::vector<prompt_block>{
+                                           {11, 2500}, {22, 3800}}) == 2500U);
   // A part is of no use without all before it.
-  BOOST_TEST(Memory.kept(
+  BOOST_TEST(Memory.cachedTokens(
                  Home, std::vector<prompt_block>{{31, 100}, {12, 3800}}) == 0U);
-  Memory.forget(Home);
-  BOOST_TEST(Memory.kept(Home, Review) == 0U);
+  Memory.removeUpstream(Home);
+  BOOST_TEST(Memory.cachedTokens(Home, Review) == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(gives_up_what_was_longest_unused_when_there_is_no_room) {
   prefix_cache_model Memory;
   Memory.setCapacity(20000);
-  Memory.sent(Home, Review);
+  Memory.addPrompt(Home, Review);
   for (uint64_t Key = 100; Key < 103; ++Key) {
-    Memory.sent(Home, std::vector<prompt_block>{{11, 2500}, {Key, 3000}});
+    Memory.addPrompt(Home, std::vector<prompt_block>{{11, 2500}, {Key, 3000}});
   }
   // The beginning is in use all the time, the session's part is not.
-  BOOST_TEST(Memory.kept(Home, Review) >= 2500U);
-  BOOST_TEST(Memory.kept(Home, Review) < 9200U);
+  BOOST_TEST(Memory.cachedTokens(Home, Review) >= 2500U);
+  BOOST_TEST(Memory.cachedTokens(Home, Review) < 9200U);
   // One prompt that fills the memory is held all the same.
   std::vector<prompt_block> Whole = {{55, 90000}};
-  Memory.sent(Home, Whole);
-  BOOST_TEST(Memory.kept(Home, Whole) == 90000U);
-  BOOST_TEST(Memory.kept(Home, Review) == 0U);
+  Memory.addPrompt(Home, Whole);
+  BOOST_TEST(Memory.cachedTokens(Home, Whole) == 90000U);
+  BOOST_TEST(Memory.cachedTokens(Home, Review) == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(takes_back_what_may_not_have_been_read) {
   prefix_cache_model Memory;
-  Memory.sent(Home, std::span(Review).first(1));
-  Memory.sent(Home, Review);
+  Memory.addPrompt(Home, std::span(Review).first(1));
+  Memory.addPrompt(Home, Review);
   Memory.removeBlocks(Home, std::span(Review).subspan(1));
-  BOOST_TEST(Memory.kept(Home, Review) == 2500U);
+  BOOST_TEST(Memory.cachedTokens(Home, Review) == 2500U);
   Memory.removeBlocks(Elsewhere, Review);
   Memory.removeBlocks(Home, Review);
-  BOOST_TEST(Memory.kept(Home, Review) == 0U);
+  BOOST_TEST(Memory.cachedTokens(Home, Review) == 0U);
 }
 
 // A request as the platform's header names its parts.
@@ -303,13 +305,13 @@
 
 BOOST_AUTO_TEST_CASE(is_named_by_all_parts_up_to_each) {
   prompt_work Work = workOfParts("a:100,b:200,c:50", "350,20");
-  BOOST_REQUIRE_EQUAL(Work.Pieces.size(), 3U);
-  BOOST_TEST(Work.Prompt.SharedPrefixKey == Work.Pieces[1].Key);
+  BOOST_REQUIRE_EQUAL(Work.Blocks.size(), 3U);
+  BOOST_TEST(Work.Prompt.SharedPrefixKey == Work.Blocks[1].Key);
   BOOST_TEST(Work.Prompt.SharedPrefillSeconds > 0);
   prompt_work Other = workOfParts("a:100,d:200,c:50", "350,20");
-  BOOST_TEST(Work.Pieces[0].Key == Other.Pieces[0].Key);
-  BOOST_TEST(Work.Pieces[1].Key != Other.Pieces[1].Key);
-  BOOST_TEST(Work.Pieces[2].Key != Other.Pieces[2].Key);
+  BOOST_TEST(Work.Blocks[0].Key == Other.Blocks[0].Key);
+  BOOST_TEST(Work.Blocks[1].Key != Other.Blocks[1].Key);
+  BOOST_TEST(Work.Blocks[2].Key != Other.Blocks[2].Key);
 }
 
 BOOST_AUTO_TEST_CASE(is_not_learnt_from_parts_that_cannot_be) {
@@ -318,9 +320,9 @@
     Many += (I ? ",1:1" : "1:1");
   for (const std::string &Parts : {"a:4294967295,b:4294967295"s, "a:100,b:300"s,
                                    Many, ""s, "a:-5,b:9"s, "zz"s})
-    BOOST_TEST(workOfParts(Parts, "350,20").Pieces.empty(), Parts);
-  BOOST_TEST(workOfParts("a:10", "").Pieces.empty());
-  BOOST_TEST(workOfParts("a:10", "-3,x").Pieces.empty());
+    BOOST_TEST(workOfParts(Parts, "350,20").Blocks.empty(), Parts);
+  BOOST_TEST(workOfParts("a:10", "").Blocks.empty());
+  BOOST_TEST(workOfParts("a:10", "-3,x").Blocks.empty());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
@@ -329,7 +331,7 @@
 
 // The largest model costs 0.12 for 1,000 tokens; upstreams are free.
 larger_model_input answerOf(request_size Size, double Confidence) {
-  return {.Models = 3,
+  return {.ModelCount = 3,
           .Confidence = Confidence,
           .Size = Size,
           .LargestCost = 0.12,
@@ -337,9 +339,9 @@
 }
 
 constexpr request_size Appraisal{
-    .ReadTokens = 17000, .MadeTokens = 120, .Priority = 1};
+    .InputTokens = 17000, .OutputTokens = 120, .Priority = 1};
 constexpr request_size Summary{
-    .ReadTokens = 1460, .MadeTokens = 171, .Priority = 2};
+    .InputTokens = 1460, .OutputTokens = 171, .Priority = 2};
 
 bool asks(request_size Size, double Confidence,
           double OpportunityCostPerSecond = 0, bool InTime = true) {
@@ -357,7 +359,7 @@
     Answer.Confidence = 0.8;
     BOOST_TEST(!largerModel(Answer).has_value());
     Answer.Confidence = 0.2;
-    Answer.Place = 2;
+    Answer.ModelIndex = 2;
     BOOST_TEST(!largerModel(Answer).has_value());
   }
   BOOST_TEST(poorAnswerProbability(0) == 1);
@@ -416,8 +418,8 @@
   processing_time_stats Long;
   BOOST_TEST(Short.residualSeconds() == 0);
   for (int I = 0; I < 1000; ++I) {
-    Short.weighed(0.2);
-    Long.weighed(2);
+    Short.add(0.2);
+    Long.add(2);
   }
   BOOST_TEST(Short.residualSeconds() == 0.2,
              boost::test_tools::tolerance(1e-9));
@@ -428,7 +430,7 @@
   BOOST_TEST(asks(Appraisal, 0.55, OfLong));
   BOOST_TEST_CONTEXT("one long work among many short ones counts") {
     for (int I = 0; I < 20; ++I)
-      Short.weighed(2);
+      Short.add(2);
     BOOST_TEST(Short.residualSeconds() > 1);
   }
 }
@@ -436,10 +438,10 @@
 BOOST_AUTO_TEST_CASE(learns_what_a_second_of_an_upstream_earns) {
   utility_rate Earnings;
   BOOST_TEST(Earnings.perSecond() == 0);
-  Earnings.earned(3, 0.5);
+  Earnings.add(3, 0.5);
   BOOST_TEST(Earnings.perSecond() == 6);
   for (int I = 0; I < 2000; ++I)
-    Earnings.earned(1, 0.1);
+    Earnings.add(1, 0.1);
   BOOST_TEST(std::abs(Earnings.perSecond() - 10) < 0.1);
 }
 
@@ -475,14 +477,14 @@
   add(First, 8, 0, 1);
   auto Second = newsOf(2, 5);
   add(Second, 7, 200, 1);
-  Others.heard(First, 0);
-  Others.heard(Second, 0);
+  Others.update(First, 0);
+  Others.update(Second, 0);
   BOOST_TEST(Others.at(7).InFlight == 3U);
   BOOST_TEST(std::abs(Others.at(7).PrefillSeconds - 0.5) < 1e-9);
   auto Later = newsOf(1, 2);
   add(Later, 7, 0, 1);
-  Others.heard(Later, 1);
-  Others.heard(First, 1); // Overtaken on its way.
+  Others.update(Later, 1);
+  Others.update(First, 1); // Overtaken on its way.
   BOOST_TEST(Others.at(7).InFlight == 2U);
   BOOST_TEST(Others.at(8).InFlight == 1U);
   BOOST_TEST(Others.at(9).InFlight == 0U);
@@ -492,10 +494,10 @@
   peer_work_totals Others;
   auto First = newsOf(1, 1);
   add(First, 7, 300, 2);
-  Others.heard(First, 0);
+  Others.update(First, 0);
   auto Whole = newsOf(1, 3, true);
   add(Whole, 8, 100, 1);
-  Others.heard(Whole, 1);
+  Others.update(Whole, 1);
   BOOST_TEST(Others.at(7).InFlight == 0U);
   BOOST_TEST(Others.at(8).InFlight == 1U);
 }
@@ -504,10 +506,10 @@
   peer_work_totals Others;
   auto First = newsOf(1, 1);
   add(First, 7, 300, 2);
-  Others.heard(First, 0);
+  Others.update(First, 0);
   auto Second = newsOf(2, 1);
   add(Second, 7, 100, 1);
-  Others.heard(Second, 4);
+  Others.update(Second, 4);
   Others.forgetSilent(4.5);
   BOOST_TEST(Others.gateways() == 1U);
   BOOST_TEST(Others.at(7).InFlight == 1U);
@@ -531,23 +533,23 @@
     BOOST_TEST(!Tells.receivesFromAll(3));
     std::map<uint64_t, uint32_t> Heard;
     Hears.OnLoad = [&](uint64_t Place, uint32_t Load) { Heard[Place] = Load; };
-    Tells.heardLoad(Full, 0);
-    Tells.heardLoad(Full, 48);
+    Tells.reportLoad(Full, 0);
+    Tells.reportLoad(Full, 48);
     while (Heard.empty())
       ev_run(Loop, EVRUN_ONCE);
     BOOST_TEST(Heard.size() == 1U);
-    BOOST_TEST(Heard[Full.Place] == 48U);
+    BOOST_TEST(Heard[Full.Key] == 48U);
     // And that it has ended, once.
     std::vector<uint64_t> Ended;
-    Hears.OnEnded = [&](uint64_t Place) { Ended.push_back(Place); };
+    Hears.OnCrash = [&](uint64_t Place) { Ended.push_back(Place); };
     Heard.clear();
-    Tells.ended(Full);
+    Tells.reportCrash(Full);
     while (Ended.empty())
       ev_run(Loop, EVRUN_ONCE);
-    Tells.heardLoad(Full, 1);
+    Tells.reportLoad(Full, 1);
     while (Heard.empty())
       ev_run(Loop, EVRUN_ONCE);
-    BOOST_TEST(Ended == std::vector<uint64_t>{Full.Place},
+    BOOST_TEST(Ended == std::vector<uint64_t>{Full.Key},
                boost::test_tools::per_element());
   }
   ev_loop_destroy(Loop);
@@ -585,18 +587,18 @@
     Listed.push_back(listed("i-" + std::to_string(I)));
   Table.update(Listed, 0);
   auto First = Table.all().at("i-0");
-  BOOST_TEST(Table.presumeCrashed(First->Place, 10));
+  BOOST_TEST(Table.presumeCrashed(First->Key, 10));
   BOOST_TEST(First->suspect(10.5));
   BOOST_TEST(First->acceptsRequests(0));
   BOOST_TEST(!First->suspect(20));
-  BOOST_TEST(Table.presumeCrashed(First->Place, 20));
-  First->answered();
+  BOOST_TEST(Table.presumeCrashed(First->Key, 20));
+  First->recordResponse();
   BOOST_TEST(!First->suspect(20.1));
   BOOST_TEST(!Table.presumeCrashed(12345, 30)); // Of another list.
 
   // Whoever says it of all is wrong, or no better is to be had.
   for (const auto &Each : Table.ofService("llm"))
-    Table.presumeCrashed(Each->Place, 40);
+    Table.presumeCrashed(Each->Key, 40);
   auto Suspects = std::count_if(
       Table.ofService("llm").begin(), Table.ofService("llm").end(),
       [](const auto &Each) { return Each->suspect(41); });
@@ -615,8 +617,8 @@
   upstream_table Table;
   Table.update({Started(1000)}, 0);
   auto First = Table.all().at("i-1");
-  First->failed(0);
-  First->heardLoad(7, 0);
+  First->recordFailure(0);
+  First->recordLoad(7, 0);
   // No start told, or the same: it is the same.
   BOOST_TEST(Table.update({Started(0)}, 0).empty());
   BOOST_TEST(Table.update({Started(1000)}, 0).empty());
@@ -631,9 +633,9 @@
   BOOST_TEST(!Second->unrecovered(0.1));
   BOOST_TEST(Second->load(0.1) == 0);
   // Memory and told work go by the place.
-  BOOST_TEST(Second->Place != First->Place);
-  BOOST_TEST(Table.has(Second->Place));
-  BOOST_TEST(!Table.has(First->Place));
+  BOOST_TEST(Second->Key != First->Key);
+  BOOST_TEST(Table.has(Second->Key));
+  BOOST_TEST(!Table.has(First->Key));
 
   // A list from before changes nothing back, also where it says that it leaves.
   BOOST_TEST(Table.update({Started(1000, true)}, 0).empty());
@@ -642,7 +644,7 @@
   // Gateways that hear of it first now agree on its place.
   upstream_table Other;
   Other.update({Started(2000)}, 0);
-  BOOST_TEST(Other.all().at("i-1")->Place == Second->Place);
+  BOOST_TEST(Other.all().at("i-1")->Key == Second->Key);
 }
 
 BOOST_AUTO_TEST_CASE(keeps_work_from_those_that_rest_until_their_time_is_over) {
@@ -650,8 +652,8 @@
   Table.update({listed("i-1"), listed("i-2")}, 0);
   auto First = Table.all().at("i-1");
   const std::string &Service = First->Listed.Service;
-  First->rest(3, 10);
-  First->rest(1, 11); // The longer one holds.
+  First->backOff(3, 10);
+  First->backOff(1, 11); // The longer one holds.
   BOOST_TEST(!First->acceptsRequests(12.9));
   BOOST_TEST(First->acceptsRequests(13));
   BOOST_TEST_CONTEXT("and does not take them for failed") {
@@ -659,18 +661,18 @@
     BOOST_TEST(!First->unrecovered(11));
   }
   BOOST_TEST_CONTEXT("nor loses them to an absurd time") {
-    First->rest(31536000, 20);
+    First->backOff(31536000, 20);
     BOOST_TEST(!First->acceptsRequests(21));
     BOOST_TEST(First->acceptsRequests(20 + 60));
   }
   BOOST_TEST_CONTEXT("and knows when the first takes work again") {
     BOOST_TEST(Table.soonestBackoffEnd(Service, 30) == 0);
     auto Second = Table.all().at("i-2");
-    Second->rest(5, 30);
+    Second->backOff(5, 30);
     BOOST_TEST(Table.soonestBackoffEnd(Service, 31) == 4);
-    Second->leave();
+    Second->markLeaving();
     BOOST_TEST(Table.soonestBackoffEnd(Service, 31) == 49);
-    First->leave();
+    First->markLeaving();
     BOOST_TEST(Table.soonestBackoffEnd(Service, 31) == 0);
   }
   BOOST_TEST_CONTEXT("also those that a later list names again") {
@@ -683,33 +685,33 @@
   upstream Upstream;
   Upstream.InFlight = 2;
   BOOST_TEST(Upstream.load(10) == 2);
-  Upstream.heardLoad(7, 10);
+  Upstream.recordLoad(7, 10);
   BOOST_TEST(Upstream.load(10.1) == 7);
   Upstream.InFlight = 4;
   BOOST_TEST(Upstream.load(10.1) == 9);
   BOOST_TEST(Upstream.load(20) == 4);
   // Of the requests that it told, those of gateways that are heard of count
   // once.
-  Upstream.heardLoad(12, 30, 5);
+  Upstream.recordLoad(12, 30, 5);
   BOOST_TEST(Upstream.load(30.1, 5) == 12);
   BOOST_TEST(Upstream.load(30.1, 7) == 14);
   BOOST_TEST(Upstream.load(30.1, 1) == 8);
-  Upstream.heardLoad(4000000000U, 40, 0);
+  Upstream.recordLoad(4000000000U, 40, 0);
   BOOST_TEST(Upstream.load(40.1) < 100);
-  Upstream.heardLoad(12, 30, 5);
+  Upstream.recordLoad(12, 30, 5);
   BOOST_TEST(Upstream.hasFreshLoad(31));
   BOOST_TEST(!Upstream.hasFreshLoad(33));
 }
 
 BOOST_AUTO_TEST_CASE(pauses_one_that_fails_longer_each_time) {
   upstream Upstream;
-  Upstream.failed(0);
+  Upstream.recordFailure(0);
   BOOST_TEST(Upstream.suspect(0.4));
   BOOST_TEST(!Upstream.suspect(0.6));
-  Upstream.failed(1);
+  Upstream.recordFailure(1);
   BOOST_TEST(Upstream.suspect(1.9));
-  Upstream.answered();
-  Upstream.failed(3);
+  Upstream.recordResponse();
+  Upstream.recordFailure(3);
   BOOST_TEST(!Upstream.suspect(3.6));
 }
 
@@ -721,7 +723,7 @@
   upstream_table Upstreams;
   Upstreams.update({listed("i-1"), listed("i-2", "v2")}, 0);
   software_versions Versions;
-  Versions.take(noticeOf(wire::CANARY), Upstreams);
+  Versions.apply(noticeOf(wire::CANARY), Upstreams);
   BOOST_TEST(Upstreams.stableVersion("llm") == "v1");
   int Tried = 0;
   for (uint64_t Draw = 0; Draw < 1'000'000; Draw += 997) {
@@ -737,11 +739,11 @@
   upstream_table Upstreams;
   Upstreams.update({listed("i-1"), listed("i-2", "v2")}, 0);
   software_versions Versions;
-  Versions.take(noticeOf(wire::SHIFT), Upstreams);
+  Versions.apply(noticeOf(wire::SHIFT), Upstreams);
   BOOST_TEST(Versions.versionFor("llm", "v1", "v1", 1) == "v2");
-  Versions.take(noticeOf(wire::COMPLETED), Upstreams);
+  Versions.apply(noticeOf(wire::COMPLETED), Upstreams);
   BOOST_TEST(Upstreams.stableVersion("llm") == "v2");
-  Versions.take(noticeOf(wire::REVERTED), Upstreams);
+  Versions.apply(noticeOf(wire::REVERTED), Upstreams);
   BOOST_TEST(Upstreams.stableVersion("llm") == "v1");
   BOOST_TEST(Versions.versionFor("llm", "v1", "v2", 1) == "v1");
   BOOST_TEST(Versions.revertedVersion("llm") == "v2");
@@ -778,15 +780,15 @@
     sessions_that_must_stay_are_told_once_and_forgotten_later) {
   session_pins Pins;
   Pins.setLifetime(10);
-  Pins.stay(7, 0);
-  Pins.stay(7, 1);
+  Pins.pinToStable(7, 0);
+  Pins.pinToStable(7, 1);
   Pins.applyStablePin(8, 1);
   BOOST_TEST(Pins.takeUnreportedPins().size() == 1U);
   BOOST_TEST(Pins.takeUnreportedPins().empty());
-  BOOST_TEST(Pins.stays(7, 10.5));
-  BOOST_TEST(Pins.stays(8, 10.5));
-  BOOST_TEST(!Pins.stays(7, 12));
-  BOOST_TEST(!Pins.stays(9, 1));
+  BOOST_TEST(Pins.isPinnedToStable(7, 10.5));
+  BOOST_TEST(Pins.isPinnedToStable(8, 10.5));
+  BOOST_TEST(!Pins.isPinnedToStable(7, 12));
+  BOOST_TEST(!Pins.isPinnedToStable(9, 1));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/http_test.cpp
+++ b/tests/unit/http_test.cpp
@@ -146,14 +146,14 @@
   platform::caller_facts Facts = platform::readCaller(headOf(Post));
   BOOST_TEST(Facts.AttemptId == "9c41d07be2a35f68");
   BOOST_TEST(*Facts.DeadlineSeconds == 25);
-  BOOST_TEST(Facts.Key == "secret");
+  BOOST_TEST(Facts.Credential == "secret");
   BOOST_REQUIRE(Facts.Model.has_value());
   BOOST_TEST(Facts.Model->PromptTokens == 1460U);
   BOOST_TEST(Facts.Model->MaxOutputTokens == 80U);
   BOOST_TEST(*Facts.Model->OutputTokensHint == 70U);
-  BOOST_REQUIRE(Facts.Model->Parts.size() == 3U);
-  BOOST_TEST(Facts.Model->Parts[0].Id == 0x5c1e07a2U);
-  BOOST_TEST(Facts.Model->Parts[2].Tokens == 250U);
+  BOOST_REQUIRE(Facts.Model->PrefixBlocks.size() == 3U);
+  BOOST_TEST(Facts.Model->PrefixBlocks[0].Id == 0x5c1e07a2U);
+  BOOST_TEST(Facts.Model->PrefixBlocks[2].Tokens == 250U);
 }
 
 BOOST_AUTO_TEST_CASE(for_an_upstream_hold_only_what_the_system_says) {
@@ -162,7 +162,7 @@
                                                  .DeadlineSeconds = 1.25,
                                                  .Account = "hule930",
                                                  .Model = "large",
-                                                 .LastEvent = "12",
+                                                 .LastEventId = "12",
                                                  .Priority = 1,
                                                  .SendPriority = true},
                                                 5);
@@ -241,11 +241,11 @@
   for (const rest_case &Case : Cases)
     BOOST_TEST_CONTEXT(Case.Lines) {
       auto Told = Facts("503 Busy", Case.Lines);
-      BOOST_TEST(Told.RestSeconds.value_or(-1) == Case.Seconds);
+      BOOST_TEST(Told.BackoffSeconds.value_or(-1) == Case.Seconds);
       BOOST_TEST(Told.MalformedRetryAfter == Case.Odd);
     }
-  BOOST_TEST(!Facts("200 OK", "Retry-After: 3\r\n").RestSeconds);
-  BOOST_TEST(!Facts("421 Other", "Retry-After: 3\r\n").RestSeconds);
+  BOOST_TEST(!Facts("200 OK", "Retry-After: 3\r\n").BackoffSeconds);
+  BOOST_TEST(!Facts("421 Other", "Retry-After: 3\r\n").BackoffSeconds);
   BOOST_TEST(Facts("200 OK", "Server-Leaving: 1\r\n").Leaving);
   BOOST_TEST(Facts("503 Busy", "server-leaving: 1\r\n").Leaving);
   BOOST_TEST(!Facts("200 OK", "Server-Leaving: 0\r\n").Leaving);
--- a/tests/unit/leases_test.cpp
+++ b/tests/unit/leases_test.cpp
@@ -22,7 +22,7 @@
   catalog Config = smallCatalog();
   wire::grant Old = grantOf(Config, 0, 10);
   config_replica Copy;
-  BOOST_TEST(Copy.take(Old, 10.1));
+  BOOST_TEST(Copy.applyGrant(Old, 10.1));
   BOOST_TEST(Copy.config().index() == 5U);
   BOOST_TEST(Copy.hasLease(15));
   BOOST_TEST(!Copy.hasLease(16));
@@ -34,18 +34,18 @@
   BOOST_REQUIRE(Config.applyChanges(Delete, 8).ok());
   wire::grant Delta = grantOf(Config, 5, 11);
   BOOST_TEST(Delta.delta().objects_size() == 1);
-  BOOST_TEST(Copy.take(Delta, 11.1));
+  BOOST_TEST(Copy.applyGrant(Delta, 11.1));
   BOOST_TEST(!Copy.config().upstream("s"));
 
   Old.set_sent_at(12);
-  BOOST_TEST(!Copy.take(Old, 12.1));
+  BOOST_TEST(!Copy.applyGrant(Old, 12.1));
   BOOST_TEST(Copy.config().index() == 8U);
   BOOST_TEST(Copy.leaseEnd() < 17.1);
 }
 
 BOOST_AUTO_TEST_CASE(gets_no_lease_from_a_grant_that_was_long_on_the_way) {
   config_replica Copy;
-  Copy.take(grantOf(smallCatalog(), 0, 10), 30);
+  Copy.applyGrant(grantOf(smallCatalog(), 0, 10), 30);
   BOOST_TEST(!Copy.hasLease(30));
 }
 
@@ -67,13 +67,13 @@
   Table.reset(0);
   double Now = 100;
   for (const char *Node : {"a", "b", "c"}) {
-    Table.renewed(Node, renewOf(Node, 4), Now);
-    Table.granted(Node, Now);
+    Table.recordRenewal(Node, renewOf(Node, 4), Now);
+    Table.recordGrant(Node, Now);
   }
   double Took = -1;
   Table.awaitInForce(5, Now, [&](double Seconds) { Took = Seconds; });
-  Table.renewed("a", renewOf("a", 5), Now + 1);
-  Table.left("b");
+  Table.recordRenewal("a", renewOf("a", 5), Now + 1);
+  Table.releaseLease("b");
   Table.poll(Now + 1);
   BOOST_TEST(Took < 0);
   // The silent one holds the change up until its lease has surely ended.
@@ -104,8 +104,8 @@
   for (const char *Node : {"a", "b", "c"}) {
     wire::renew Renew = renewOf(Node, 1);
     Renew.set_role("entry");
-    Table.renewed(Node, Renew, 101);
-    Table.granted(Node, 101);
+    Table.recordRenewal(Node, Renew, 101);
+    Table.recordGrant(Node, 101);
     Granted += Table.perEntry(Whole, 101);
   }
   BOOST_TEST(Granted <= Whole);
@@ -119,8 +119,8 @@
     wire::renew Renew = renewOf(Node, 1);
     Renew.add_demand()->set_account("x");
     Renew.mutable_demand(0)->set_requests_per_second(Rate);
-    Table.renewed(Node, Renew, 10);
-    Table.granted(Node, 10);
+    Table.recordRenewal(Node, Renew, 10);
+    Table.recordGrant(Node, 10);
   }
   double A = Table.sharesOf("a", 10)[0].share();
   double B = Table.sharesOf("b", 10)[0].share();
--- a/tests/unit/load_test.cpp
+++ b/tests/unit/load_test.cpp
@@ -91,14 +91,14 @@
     std::vector<upstream_view> Views;
     double Whole = paceOf(Model) * (SharedTokens + OwnTokens);
     for (size_t I = 0; I < Upstreams.size(); ++I) {
-      uint32_t Kept = Options.KnowsMemory ? Memory.kept(I, Pieces) : 0;
+      uint32_t Kept = Options.KnowsMemory ? Memory.cachedTokens(I, Pieces) : 0;
       Views.push_back({.Id = Upstreams[I].Id,
                        .Slots = 64,
                        .SameHall = true,
                        .PrefillSeconds = waitAt(I),
-                       .ReadSeconds = Whole - paceOf(Model) * Kept});
+                       .UncachedPrefillSeconds = Whole - paceOf(Model) * Kept});
     }
-    prompt_view Prompt{.Seconds = Whole};
+    prompt_view Prompt{.PrefillSeconds = Whole};
     if (Options.KnowsMemory) {
       Prompt.SharedPrefillSeconds = paceOf(Model) * SharedTokens;
       Prompt.SharedPrefixKey = Pieces.front().Key;
@@ -110,11 +110,12 @@
   double send(size_t Place, size_t Model,
               const std::vector<prompt_block> &Pieces) {
     played_upstream &Upstream = Upstreams[Place];
-    uint32_t Tokens = SharedTokens + OwnTokens - Upstream.Kept.kept(0, Pieces);
+    uint32_t Tokens =
+        SharedTokens + OwnTokens - Upstream.Kept.cachedTokens(0, Pieces);
     Result.Read += Tokens;
     Upstream.FreeAt = std::max(Now, Upstream.FreeAt) + paceOf(Model) * Tokens;
-    Upstream.Kept.sent(0, Pieces);
-    Memory.sent(Place, Pieces);
+    Upstream.Kept.addPrompt(0, Pieces);
+    Memory.addPrompt(Place, Pieces);
     return Upstream.FreeAt;
   }
 
@@ -132,21 +133,21 @@
     std::normal_distribution<double> Noise(SmallGood ? 0.75 : 0.25, 0.15);
     auto Pieces = piecesFor(Small, Subject);
     double First = send(choose(Small, Pieces), Small, Pieces);
-    request_size Size{.ReadTokens = SharedTokens + OwnTokens,
-                      .MadeTokens = MadeTokens,
+    request_size Size{.InputTokens = SharedTokens + OwnTokens,
+                      .OutputTokens = MadeTokens,
                       .Priority = 1};
-    Earnings.earned(utilityOf(Size), SmallPace * (SharedTokens + OwnTokens));
+    Earnings.add(utilityOf(Size), SmallPace * (SharedTokens + OwnTokens));
     // The larger model is weighed when the first one's token comes; nothing
     // that arrives until then is left out by looking at it now.
     Pieces = piecesFor(Large, Subject);
     size_t Place = choose(Large, Pieces);
-    double Read =
-        paceOf(Large) * (SharedTokens + OwnTokens - Memory.kept(Place, Pieces));
+    double Read = paceOf(Large) * (SharedTokens + OwnTokens -
+                                   Memory.cachedTokens(Place, Pieces));
     double Backlog = Options.HeedsBacklog ? meanBacklog() : 0;
-    Works.weighed(Read);
+    Works.add(Read);
     auto Larger = largerModel(
-        {.Models = 2,
-         .Place = Small,
+        {.ModelCount = 2,
+         .ModelIndex = Small,
          .Confidence = std::clamp(Noise(Random), 0.0, 1.0),
          .Size = Size,
          .LargestCost = LargeCost,
--- a/tests/unit/placement_test.cpp
+++ b/tests/unit/placement_test.cpp
@@ -18,7 +18,7 @@
   for (size_t I = 0; I < Replicas; ++I)
     Question.Replicas.push_back({.Name = "r" + std::to_string(I),
                                  .DataHall = "hall-" + std::to_string(I % 3),
-                                 .Room = 2,
+                                 .MaxLoadedVersions = 2,
                                  .Models = {"m"}});
   return Question;
 }
@@ -122,7 +122,7 @@
   Question.MaxConcurrentLoads = 5;
   Question.Versions = {{V1, 1}, {V2, 1000}};
   for (placed_replica &R : Question.Replicas)
-    R.Room = 1;
+    R.MaxLoadedVersions = 1;
   for (size_t I : {0, 1, 2})
     Question.Replicas[I].Assigned = {V1};
   Question.Replicas[0].Loaded = {V1};
