--- a/tests/unit/routing_changes_test.cpp
+++ b/tests/unit/routing_changes_test.cpp
@@ -90,14 +90,14 @@
     Ask.set_piece(Copy.nextPiece());
     if (Copy.version() == News.version())
       return Pieces;
-    piece_result Result = Copy.take(*News.piece(Ask));
-    if (Damaged && Result == piece_result::Damaged) {
+    piece_result Result = Copy.applyPiece(*News.piece(Ask));
+    if (Damaged && Result == piece_result::Corrupt) {
       ++*Damaged;
       WantsWhole = true;
       continue;
     }
     BOOST_REQUIRE(
-        (Result == piece_result::Kept || Result == piece_result::InForce));
+        (Result == piece_result::Stored || Result == piece_result::InForce));
   }
 }
 
@@ -124,7 +124,7 @@
   routing_replica Far;  // Misses some.
   for (int Round = 1; Round <= FuzzRounds; ++Round) {
     routing_config Config = randomConfig(Random, uint64_t(Round) * 3);
-    News.take(Config);
+    News.setConfig(Config);
     std::string Expected = lookUps(routing_table(Config));
     bringUpToDate(News, Near);
     BOOST_REQUIRE_EQUAL(lookUps(*Near.table()), Expected);
@@ -145,12 +145,12 @@
   int Damaged = 0;
   for (int Round = 1; Round <= FuzzRounds / 10; ++Round) {
     routing_config Config = randomConfig(Random, uint64_t(Round) * 3);
-    Seen.take(Config);
+    Seen.setConfig(Config);
     if (Random() % 3 != 0) {
       bringUpToDate(Seen, Copy);
       continue;
     }
-    Seldom.take(Config);
+    Seldom.setConfig(Config);
     bool Known = Copy.version() >= 3 && Rounds++ > 0;
     wire::routing_ask Ask;
     Ask.set_held_version(Copy.version());
@@ -166,11 +166,11 @@
 BOOST_AUTO_TEST_CASE(costs_what_a_change_costs) {
   routing_publisher News;
   routing_replica Copy;
-  News.take(manyRoutes(5000, 1));
+  News.setConfig(manyRoutes(5000, 1));
   BOOST_TEST(bringUpToDate(News, Copy) > 10);
   routing_config Changed = manyRoutes(5000, 2);
   Changed.Routes[17].TimeoutSeconds = 4;
-  News.take(Changed);
+  News.setConfig(Changed);
   wire::routing_ask Ask;
   Ask.set_held_version(1);
   auto Piece = News.piece(Ask);
@@ -183,7 +183,7 @@
     ends_a_transfer_that_was_begun_though_newer_versions_come) {
   routing_publisher News;
   routing_replica Copy;
-  News.take(manyRoutes(2000, 1));
+  News.setConfig(manyRoutes(2000, 1));
   uint64_t Version = 1;
   int Pieces = 0;
   // A newer version with each piece.
@@ -191,8 +191,8 @@
     wire::routing_ask Ask;
     Ask.set_version(Copy.pendingVersion());
     Ask.set_piece(Copy.nextPiece());
-    BOOST_REQUIRE(Copy.take(*News.piece(Ask)) != piece_result::Odd);
-    News.take(manyRoutes(2000, ++Version));
+    BOOST_REQUIRE(Copy.applyPiece(*News.piece(Ask)) != piece_result::Rejected);
+    News.setConfig(manyRoutes(2000, ++Version));
     BOOST_REQUIRE(++Pieces < 1000);
   }
   BOOST_TEST(Copy.version() == 1U);
@@ -207,23 +207,23 @@
     routing_config Config = manyRoutes(4000, Version);
     for (route_spec &Route : Config.Routes)
       Route.TimeoutSeconds = double(Version);
-    News.take(Config);
+    News.setConfig(Config);
     wire::routing_ask Ask;
     Ask.set_held_version(Version / 2);
     News.piece(Ask);
-    BOOST_REQUIRE(News.keptBytes() <= size_t(13 << 20));
-    BOOST_REQUIRE(News.keptChanges() <= 14U);
+    BOOST_REQUIRE(News.cachedBytes() <= size_t(13 << 20));
+    BOOST_REQUIRE(News.retainedChanges() <= 14U);
   }
 }
 
 BOOST_AUTO_TEST_CASE(takes_no_piece_that_does_not_fit) {
   routing_publisher News;
-  News.take(manyRoutes(600, 5));
+  News.setConfig(manyRoutes(600, 5));
   routing_replica Copy;
   bringUpToDate(News, Copy);
   std::string Before = lookUps(*Copy.table());
   routing_config Next = manyRoutes(1200, 9);
-  News.take(Next);
+  News.setConfig(Next);
   wire::routing_ask Ask;
   Ask.set_held_version(5);
   wire::routing_piece First = *News.piece(Ask);
@@ -246,12 +246,12 @@
     BOOST_TEST_CONTEXT(Case.What) {
       wire::routing_piece Piece = First;
       Case.Change(Piece);
-      BOOST_TEST((Copy.take(Piece) == piece_result::Odd));
+      BOOST_TEST((Copy.applyPiece(Piece) == piece_result::Rejected));
     }
   // Doubled: the second of the same changes nothing.
-  BOOST_TEST((Copy.take(First) == piece_result::Kept));
-  BOOST_TEST((Copy.take(Second) != piece_result::Odd));
-  BOOST_TEST((Copy.take(Second) == piece_result::Odd));
+  BOOST_TEST((Copy.applyPiece(First) == piece_result::Stored));
+  BOOST_TEST((Copy.applyPiece(Second) != piece_result::Rejected));
+  BOOST_TEST((Copy.applyPiece(Second) == piece_result::Rejected));
 
   const odd_case Damages[] = {
       {"bytes that are no part",
@@ -271,7 +271,7 @@
       wire::routing_piece Piece = First;
       Case.Change(Piece);
       Piece.set_pieces(1);
-      BOOST_TEST((Copy.take(Piece) == piece_result::Damaged));
+      BOOST_TEST((Copy.applyPiece(Piece) == piece_result::Corrupt));
       BOOST_TEST(Copy.pendingVersion() == 0U);
       BOOST_TEST(lookUps(*Copy.table()) == Before);
     }
@@ -283,7 +283,7 @@
   google::protobuf::LogSilencer Quiet;
   std::mt19937_64 Random(5);
   routing_publisher News;
-  News.take(randomConfig(Random, 1));
+  News.setConfig(randomConfig(Random, 1));
   wire::routing_piece Good = *News.piece({});
   std::string Bytes = Good.SerializeAsString();
   for (int Round = 0; Round < FuzzRounds; ++Round) {
@@ -292,7 +292,8 @@
       Odd[Random() % Odd.size()] = char(Random());
     wire::routing_piece Piece;
     routing_replica Copy;
-    if (Piece.ParseFromString(Odd) && Copy.take(Piece) == piece_result::InForce)
+    if (Piece.ParseFromString(Odd) &&
+        Copy.applyPiece(Piece) == piece_result::InForce)
       lookUps(*Copy.table());
   }
 }
@@ -300,10 +301,10 @@
 BOOST_AUTO_TEST_CASE(requests_keep_the_route_that_they_came_by) {
   routing_publisher News;
   routing_replica Copy;
-  News.take(manyRoutes(3, 1));
+  News.setConfig(manyRoutes(3, 1));
   bringUpToDate(News, Copy);
   auto Route = Copy.table()->route("a.example", "/r1/x");
-  News.take(manyRoutes(1, 2));
+  News.setConfig(manyRoutes(1, 2));
   bringUpToDate(News, Copy);
   BOOST_TEST(Copy.table()->route("a.example", "/r1/x") == nullptr);
   BOOST_TEST(Route->Name == "route-1");
@@ -317,7 +318,7 @@
 
 wire::routing_piece onlyPiece(uint64_t Version) {
   routing_publisher News;
-  News.take(manyRoutes(1, Version));
+  News.setConfig(manyRoutes(1, Version));
   return *News.piece({});
 }
 
@@ -325,16 +326,16 @@
 
 BOOST_AUTO_TEST_CASE(asks_one_at_a_time_with_growing_pauses) {
   routing_fetch Fetch(1);
-  BOOST_TEST(!Fetch.question(0));
-  Fetch.offered("a", 3);
-  Fetch.offered("b", 3);
-  Fetch.offered("c", 2);
-  auto First = Fetch.question(0);
+  BOOST_TEST(!Fetch.nextRequest(0));
+  Fetch.recordOffer("a", 3);
+  Fetch.recordOffer("b", 3);
+  Fetch.recordOffer("c", 2);
+  auto First = Fetch.nextRequest(0);
   BOOST_REQUIRE(First.has_value());
   BOOST_TEST(First->To == "b");
   std::vector<double> Times;
   for (double Now = 0; Now < 30; Now += 0.01)
-    if (Fetch.question(Now))
+    if (Fetch.nextRequest(Now))
       Times.push_back(Now);
   BOOST_REQUIRE(Times.size() > 3U);
   BOOST_TEST(Times.size() < 12U);
@@ -343,32 +344,32 @@
 
 BOOST_AUTO_TEST_CASE(goes_to_another_control_vm_when_one_falls_silent) {
   routing_fetch Fetch(1);
-  Fetch.offered("a", 3);
-  BOOST_TEST(Fetch.question(0)->To == "a");
-  Fetch.offered("b", 3);
-  BOOST_TEST(!Fetch.question(0.1));
-  BOOST_TEST(Fetch.question(5)->To == "b");
+  Fetch.recordOffer("a", 3);
+  BOOST_TEST(Fetch.nextRequest(0)->To == "a");
+  Fetch.recordOffer("b", 3);
+  BOOST_TEST(!Fetch.nextRequest(0.1));
+  BOOST_TEST(Fetch.nextRequest(5)->To == "b");
   // What the first says now belongs to nobody.
-  BOOST_TEST((Fetch.take("a", onlyPiece(3)) == piece_result::Odd));
+  BOOST_TEST((Fetch.take("a", onlyPiece(3)) == piece_result::Rejected));
   BOOST_TEST((Fetch.take("b", onlyPiece(3)) == piece_result::InForce));
-  BOOST_TEST(!Fetch.question(6));
+  BOOST_TEST(!Fetch.nextRequest(6));
 }
 
 BOOST_AUTO_TEST_CASE(asks_for_the_whole_after_damage) {
   routing_fetch Fetch(1);
-  Fetch.offered("a", 3);
-  Fetch.question(0);
+  Fetch.recordOffer("a", 3);
+  Fetch.nextRequest(0);
   BOOST_TEST((Fetch.take("a", onlyPiece(3)) == piece_result::InForce));
-  Fetch.offered("a", 4);
-  BOOST_TEST(Fetch.question(1)->Ask.held_version() == 3U);
+  Fetch.recordOffer("a", 4);
+  BOOST_TEST(Fetch.nextRequest(1)->Request.held_version() == 3U);
   wire::routing_piece Damaged = onlyPiece(4);
   Damaged.set_digest(0);
-  BOOST_TEST((Fetch.take("a", Damaged) == piece_result::Damaged));
-  BOOST_TEST(Fetch.question(1.01)->Ask.held_version() == 0U);
+  BOOST_TEST((Fetch.take("a", Damaged) == piece_result::Corrupt));
+  BOOST_TEST(Fetch.nextRequest(1.01)->Request.held_version() == 0U);
   // And pauses when that is damaged too.
-  BOOST_TEST((Fetch.take("a", Damaged) == piece_result::Damaged));
-  BOOST_TEST(!Fetch.question(1.02));
-  BOOST_TEST(Fetch.question(9)->Ask.held_version() == 0U);
+  BOOST_TEST((Fetch.take("a", Damaged) == piece_result::Corrupt));
+  BOOST_TEST(!Fetch.nextRequest(1.02));
+  BOOST_TEST(Fetch.nextRequest(9)->Request.held_version() == 0U);
   BOOST_TEST((Fetch.take("a", onlyPiece(4)) == piece_result::InForce));
 }
 
--- a/tests/unit/state_test.cpp
+++ b/tests/unit/state_test.cpp
@@ -119,7 +119,7 @@
   BOOST_REQUIRE(Back.restore(State.image()));
   BOOST_TEST(Back.image() == State.image());
   BOOST_TEST(Back.apply(100, Change("first")).Repeated);
-  auto Reports = Back.ratings().judge(Back.config());
+  auto Reports = Back.ratings().evaluate(Back.config());
   BOOST_REQUIRE(Reports.size() == 2U);
   BOOST_TEST((Reports[1].Verdict == guard_verdict::Stop));
   BOOST_TEST(!Back.restore("nonsense"));
@@ -167,23 +167,24 @@
       for (int I = 0; I < 400; ++I)
         Rate("1", false);
       guard_report Report;
-      for (int I = 0; I < 200 && Report.Stops.empty() &&
+      for (int I = 0; I < 200 && Report.StoppedScopes.empty() &&
                       Report.Verdict == guard_verdict::Go;
            ++I) {
         Rate("2", true);
-        Report = Book.judge(Catalog)[1];
+        Report = Book.evaluate(Catalog)[1];
       }
       if (!Case.OneTemplate && !Case.OneAccount) {
         BOOST_TEST((Report.Verdict == guard_verdict::Stop));
         continue;
       }
       BOOST_TEST((Report.Verdict == guard_verdict::Go));
-      BOOST_REQUIRE(Report.Stops.size() == 1U);
-      BOOST_TEST(Report.Stops[0].Name == (Case.OneTemplate ? "t0" : "a0"));
+      BOOST_REQUIRE(Report.StoppedScopes.size() == 1U);
+      BOOST_TEST(Report.StoppedScopes[0].Name ==
+                 (Case.OneTemplate ? "t0" : "a0"));
       Catalog = Config(Case.OneTemplate ? R"({"templates":["t0"]})"
                                         : R"({"accounts":["a0"]})");
-      Report = Book.judge(Catalog)[1];
-      BOOST_TEST(Report.Stops.empty());
+      Report = Book.evaluate(Catalog)[1];
+      BOOST_TEST(Report.StoppedScopes.empty());
       BOOST_TEST(Report.Evidence < 1);
       BOOST_TEST((Report.Verdict == guard_verdict::Go));
     }
@@ -202,7 +203,7 @@
   std::normal_distribution<double> Score(0.7, 0.2);
   auto Ask = [&](size_t Most) {
     wire::estimate_table Table;
-    Book.fillNews(Known, Most, Table);
+    Book.fillEstimateTable(Known, Most, Table);
     BOOST_TEST(size_t(Table.cells_size()) <= Most + 3);
     loadCells(Table.cells(), AtNode);
     Known = Table.index();
--- a/tests/unit/warming_test.cpp
+++ b/tests/unit/warming_test.cpp
@@ -32,7 +32,7 @@
       double Share = warmupRate(Bears, Bounds, Each.Circle);
       if (Now < Each.From || Share == 0 || !Each.Pace.allows(Now))
         continue;
-      Each.Pace.sent(Now, Share);
+      Each.Pace.recordRequest(Now, Share);
       Window.push_back(Now);
     }
     while (!Window.empty() && Window.front() < Now - 1)
