--- a/consensus/raft_core.h
+++ b/consensus/raft_core.h
@@ -83,12 +83,16 @@
 /// state, the snapshot and the entries, call synced() once they are on disk,
 /// and send the messages.
 struct raft_output {
-  std::optional<raft_hard_state> HardState; ///< Unset: unchanged.
-  std::optional<raft_snapshot> Install;     ///< Replaces log and state machine.
+  std::optional<raft_hard_state> HardState;  ///< Unset: unchanged.
+  std::optional<raft_snapshot> Install; ///< Replaces log and state machine.
   /// To be appended to the log. Stored entries from the index of the first one
   /// on are replaced.
   std::vector<wire::log_entry> Entries;
+  /// Messages that do not depend on Entries and may be sent before the sync. If
+  /// the hard state is set, they too have to wait for it to be written: other
+  /// members must not see a term that this VM could lose in a crash.
   std::vector<wire::raft> Immediate;
+  /// Messages that must not be sent before all of the above is on disk.
   std::vector<wire::raft> AfterSync;
   /// To be applied to the state machine, in this order.
   std::vector<wire::log_entry> Committed;
--- a/entry/request_choice.cpp
+++ b/entry/request_choice.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-// Assumed length of an answer, in tokens, and 4 bytes for each prompt token:
-// for the prior cost of versions that have not been used yet.
+// Assumptions for the cost of versions that have not been used yet: the tokens
+// of an answer, and 4 bytes for each token of a prompt.
 constexpr double TypicalOutputTokens = 300;
 constexpr double BytesPerToken = 4;
 
@@ -84,11 +84,11 @@
 
 std::optional<chosen_arm> request_task::choose(bool MayCascade) {
   choice_input Question{.Template = Facts.Template,
-                        .Account = Facts.Account,
-                        .QualityTarget = Facts.QualityTarget,
-                        .Policy = Facts.Policy,
-                        .Candidates = candidates(),
-                        .MayCascade = MayCascade};
+                           .Account = Facts.Account,
+                           .QualityTarget = Facts.QualityTarget,
+                           .Policy = Facts.Policy,
+                           .Candidates = candidates(),
+                           .MayCascade = MayCascade};
   return chooseArm(Question, Context.Estimates, Context.Prepared,
                    Context.Random);
 }
--- a/gateway/answering.cpp
+++ b/gateway/answering.cpp
@@ -64,7 +64,7 @@
   bool Good = AnswerHead.Status >= 200 && AnswerHead.Status < 300;
   AnswerIsEvents = streaming() && Good;
   if (AnswerIsEvents && Facts.Model)
-    State.PromptPace.recordFirstToken(
+    State.PrefillEstimator.recordFirstToken(
         Model.empty() ? Facts.Model->Model : Model,
         relativeCost(*Routing, *Route, Service, selectionAt(Now).ModelIndex),
         Facts.Model->PromptTokens, CachedTokens, Now - SentAt);
@@ -96,8 +96,7 @@
   if (!Hints.MalformedRetryAfter.empty())
     logLine(log_level::Warning,
             "upstream's Retry-After is not a number of seconds",
-            {{"upstream", Upstream->Listed.Id},
-             {"value", Hints.MalformedRetryAfter}});
+            {{"upstream", Upstream->Listed.Id}, {"value", Hints.MalformedRetryAfter}});
   if (!Hints.BackoffSeconds)
     return;
   Upstream->backOff(*Hints.BackoffSeconds, Now);
@@ -113,7 +112,7 @@
   uint64_t Sum = uint64_t(Load.Running) + Load.Waiting;
   auto Requests = uint32_t(std::min<uint64_t>(Sum, MaxReportedRequests));
   Upstream->recordLoad(Requests, steadySeconds(),
-                       State.Peers->at(Upstream->Key).InFlight);
+                      State.Peers->at(Upstream->Key).InFlight);
   State.Peers->reportLoad(*Upstream, Requests);
 }
 
@@ -122,8 +121,8 @@
   if (!HeadSent)
     return deliver();
   if (Facts.Model)
-    State.ServicePaces[Service].recordResponse(
-        FirstTokenOverheadSeconds + steadySeconds() - HeadReceivedAt);
+    State.ServicePaces[Service].recordResponse(FirstTokenOverheadSeconds + steadySeconds() -
+                                      HeadReceivedAt);
   leaveUpstream();
   Caller->finish();
   complete("served", Answer.Status);
@@ -176,7 +175,7 @@
     if (OtherIncarnation) {
       Upstream->markLeaving();
       State.Crashes->recordCrash(watchedUpstream(*Upstream),
-                                 "another has its address");
+                           "another has its address");
       State.Peers->reportCrash(*Upstream);
       --Attempts; // The intended one has crashed.
       Answer = {};
@@ -223,8 +222,7 @@
              {"others_there", int64_t(Upstream->InFlight) - 1}});
   if (Where == broken_at::Refused) {
     Upstream->presumeCrashed(steadySeconds());
-    State.Crashes->recordCrash(watchedUpstream(*Upstream),
-                               "connection refused");
+    State.Crashes->recordCrash(watchedUpstream(*Upstream), "connection refused");
     State.Peers->reportCrash(*Upstream);
   } else if (Sent && Where != broken_at::Garbled) {
     recordInterruption();
--- a/gateway/forwarding.cpp
+++ b/gateway/forwarding.cpp
@@ -267,8 +267,8 @@
 }
 
 double forwarding::refusalChanceAt(double Seconds) const {
-  return refusalProbability(
-      Seconds, State.ServicePaces[Service].shortestTargetSeconds(), priority());
+  return refusalProbability(Seconds, State.ServicePaces[Service].shortestTargetSeconds(),
+                       priority());
 }
 
 // Decided once, before anything is sent: a request that has begun is not
@@ -401,8 +401,7 @@
 // has; that is no crash.
 void forwarding::recordInterruption() {
   if (!Upstream->leaving())
-    State.Crashes->recordInterruptedRequest(watchedUpstream(*Upstream),
-                                            Identity);
+    State.Crashes->recordInterruptedRequest(watchedUpstream(*Upstream), Identity);
 }
 
 void forwarding::leaveUpstream() {
@@ -412,7 +411,7 @@
     Connection->drop();
   Connection = nullptr;
   if (PrefillSeconds != 0)
-    State.PromptMemory.removeBlocks(Upstream->Key, uncachedBlocks());
+    State.PrefixCaches.removeBlocks(Upstream->Key, uncachedBlocks());
   releasePrompt();
   --Upstream->InFlight;
   State.Peers->reportChange(*Upstream);
--- a/gateway/gateway_state.h
+++ b/gateway/gateway_state.h
@@ -52,15 +52,15 @@
   /// This gateway's shares of the retry bound, by service.
   std::map<std::string, retry_share> Retries;
   /// Utility per second of upstream time, by service.
-  std::map<std::string, utility_rate> Utilities;
+  std::map<std::string, utility_rate> UtilityRates;
   /// Upstream time of requests to the largest model, by service.
-  std::map<std::string, processing_time_stats> WorkSizes;
+  std::map<std::string, processing_time_stats> ProcessingTimes;
   /// Slot times and response time targets, by service.
   std::map<std::string, service_stats> ServicePaces;
   /// Prefill times, learned from the first tokens of responses.
-  prefill_estimator PromptPace;
+  prefill_estimator PrefillEstimator;
   /// Prompt blocks that each upstream is expected to have cached.
-  prefix_cache_model PromptMemory;
+  prefix_cache_model PrefixCaches;
   std::mt19937_64 Random{1};
 };
 
--- a/gateway/gateway_task.cpp
+++ b/gateway/gateway_task.cpp
@@ -162,7 +162,7 @@
   Peers.OnPromptSent = [this](uint64_t Upstream,
                               std::span<const prompt_block> Blocks) {
     if (State.Upstreams.has(Upstream))
-      State.PromptMemory.addPrompt(Upstream, Blocks);
+      State.PrefixCaches.addPrompt(Upstream, Blocks);
   };
   Peers.OnLoad = [this](uint64_t Key, uint32_t Load) {
     if (auto Upstream = State.Upstreams.at(Key))
@@ -178,8 +178,7 @@
     State.Metrics->count("told_ended",
                          PresumedCrashed ? "passed over" : "not heeded");
     if (auto Upstream = State.Upstreams.at(Key))
-      Crashes.recordCrash(watchedUpstream(*Upstream),
-                          "told by another gateway");
+      Crashes.recordCrash(watchedUpstream(*Upstream), "told by another gateway");
   };
   Watch.OnUpstreams = [this](double Age, const wire::notice &Notice) {
     applyControlList(Age, Notice);
@@ -201,7 +200,7 @@
 void gateway_task::applyRouting(const std::shared_ptr<routing_table> &Routing) {
   Routing->eachService([this](const routed_service &Service) {
     if (Service.Engine)
-      State.PromptMemory.setCapacity(Service.Engine->CacheTokens);
+      State.PrefixCaches.setCapacity(Service.Engine->CacheTokens);
   });
   bool First = !State.Routing;
   State.Routing = Routing;
@@ -216,7 +215,7 @@
       State.Routing ? State.Routing->service(Upstream.Listed.Service) : nullptr;
   if (Service && Service->ColdStartSeconds > 0)
     Upstream.assumeCold(Service->ColdStartSeconds + ListLagSeconds,
-                        steadySeconds());
+                         steadySeconds());
 }
 
 void gateway_task::setGatewayCount(uint32_t Gateways) {
@@ -464,7 +463,7 @@
              {"held_age_s", HeldAge}});
   ListReceived = true;
   for (const auto &Upstream : Removed) {
-    State.PromptMemory.removeUpstream(Upstream->Key);
+    State.PrefixCaches.removeUpstream(Upstream->Key);
     if (!Upstream->leaving())
       Crashes.recordCrash(watchedUpstream(*Upstream), "not listed any more");
     for (upstream_connection *Idle : std::vector(Upstream->Idle))
--- a/gateway/model_switch.cpp
+++ b/gateway/model_switch.cpp
@@ -43,7 +43,7 @@
   selection_request Request = selectionAt(Now);
   Request.ModelIndex = Largest;
   request_estimate Estimate = estimateRequest(State, *Routing, Request);
-  processing_time_stats &LargestWork = State.WorkSizes[Service];
+  processing_time_stats &LargestWork = State.ProcessingTimes[Service];
   LargestWork.add(Estimate.UpstreamSeconds);
   auto Larger = largerModel(
       {.ModelCount = Route->Sizes.size(),
@@ -52,9 +52,9 @@
        .Size = size(),
        .LargestCost = costPerThousandTokens(*Routing, *Route, Service, Largest),
        .LargestSeconds = Estimate.UpstreamSeconds,
-       .OpportunityCostPerSecond = opportunityCostPerSecond(
-           State.Utilities[Service].perSecond(), Estimate.BacklogSeconds,
-           LargestWork.residualSeconds()),
+       .OpportunityCostPerSecond =
+           opportunityCostPerSecond(State.UtilityRates[Service].perSecond(),
+                         Estimate.BacklogSeconds, LargestWork.residualSeconds()),
        .RefusalProbability = refusalChanceAt(Estimate.WaitSeconds),
        .InTime = Now + Estimate.FirstTokenSeconds <
                  ArrivedAt + Route->TargetSeconds});
@@ -66,7 +66,7 @@
            {"work_s", LargestWork.residualSeconds()},
            {"slot_wait_s", Estimate.WaitSeconds},
            {"upstream_s", Estimate.UpstreamSeconds},
-           {"earned_per_s", State.Utilities[Service].perSecond()},
+           {"earned_per_s", State.UtilityRates[Service].perSecond()},
            {"first_token_s", Estimate.FirstTokenSeconds},
            {"asked", int64_t(Larger.has_value())}});
   if (!Larger || !takeRetryToken("larger model"))
@@ -147,13 +147,13 @@
                               double WaitingSeconds) {
   prompt_work Work = promptWork(State, *Routing, Request);
   if (Attempts == 1)
-    State.Utilities[Service].add(utilityOf(size()), Work.TotalSeconds);
+    State.UtilityRates[Service].add(utilityOf(size()), Work.TotalSeconds);
   PrefillSeconds = prefillSeconds(State, *Routing, Request, Work, *Upstream);
   Upstream->PrefillSeconds += PrefillSeconds;
   ExpectedSeconds = FirstTokenOverheadSeconds + WaitingSeconds + PrefillSeconds;
   Blocks = std::move(Work.Blocks);
-  CachedTokens = State.PromptMemory.cachedTokens(Upstream->Key, Blocks);
-  State.PromptMemory.addPrompt(Upstream->Key, Blocks);
+  CachedTokens = State.PrefixCaches.cachedTokens(Upstream->Key, Blocks);
+  State.PrefixCaches.addPrompt(Upstream->Key, Blocks);
   State.Peers->reportPrompt(*Upstream, Blocks);
 }
 
--- a/lease/control_watch.cpp
+++ b/lease/control_watch.cpp
@@ -80,11 +80,13 @@
   size_t Index = It == All.end() ? Options.Incarnation % All.size()
                                  : size_t(It - All.begin() + 1) % All.size();
   if (!Current.empty())
-    logLine(log_level::Info, "control VM does not answer, switching to another",
-            {{"silent", Current},
-             {"next", All[Index]},
-             {"routing", int64_t(routingVersion())},
-             {"seconds", silence()}});
+    logLine(
+        log_level::Info,
+        "control VM does not answer or names no leader, switching to another",
+        {{"silent", Current},
+         {"next", All[Index]},
+         {"routing", int64_t(routingVersion())},
+         {"seconds", silence()}});
   Current = All[Index];
   // Links to VMs that are no longer listed are dropped here, as that is not
   // allowed within their own callbacks.
--- a/ledger/claims.cpp
+++ b/ledger/claims.cpp
@@ -123,9 +123,9 @@
   Records.clear();
   Touches.clear();
   for (const wire::stored_claim &In : Image.claims()) {
+    // Older images hold session pins among the claims; see pins.cpp.
     if (In.space() == "session")
-      continue; // Older images hold session pins among the claims; see
-                // pins.cpp.
+      continue;
     claim_key Key{In.account(), In.key()};
     Records[Key] = {.Value = In.value(),
                     .RequestHash = In.request_hash(),
