--- a/base/clock.cpp
+++ b/base/clock.cpp
@@ -1,4 +1,4 @@
-//===- clock.cpp - Clocks, random numbers and identities ------------------===//
+//===- clock.cpp - Clocks, random numbers and hex numbers -----------------===//
 
 #include "base/clock.h"
 #include <array>
--- a/base/clock.h
+++ b/base/clock.h
@@ -1,7 +1,7 @@
-//===- clock.h - Clocks, random numbers and identities ----------*- C++ -*-===//
+//===- clock.h - Clocks, random numbers and hex numbers ---------*- C++ -*-===//
 //
-// Leases count on the boot clock: it runs on while a VM is frozen and never
-// steps with the wall clock.
+// Leases are timed with the boot clock (CLOCK_BOOTTIME): it keeps running while
+// a VM is suspended and, unlike the wall clock, never jumps.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,16 +13,18 @@
 
 namespace olivevalve {
 
-/// Seconds on a clock that never steps and counts frozen time.
+/// Seconds of the boot clock, which never jumps and counts suspended time.
 double steadySeconds();
 
-/// Seconds since the epoch; for logs and expiry of long-lived records only.
+/// Seconds since the Unix epoch. Can jump, so it is only for logs and for the
+/// expiry of long-lived records.
 double wallSeconds();
 
-/// A random non-zero number from the system; names one start of a process.
+/// A random non-zero number from the kernel. A process draws one at its start,
+/// which distinguishes it from earlier starts of the same node.
 uint64_t randomIncarnation();
 
-/// Sixteen hexadecimal digits.
+/// Formats \p Number as 16 lower-case hexadecimal digits.
 std::string hexOf(uint64_t Number);
 
 } // namespace olivevalve
--- a/base/digest.cpp
+++ b/base/digest.cpp
@@ -1,4 +1,4 @@
-//===- digest.cpp - Checksums and secret digests --------------------------===//
+//===- digest.cpp - Checksums and cryptographic digests -------------------===//
 
 #include "base/digest.h"
 #include "base/clock.h"
--- a/base/error.cpp
+++ b/base/error.cpp
@@ -1,4 +1,4 @@
-//===- error.cpp - The closed list of error kinds -------------------------===//
+//===- error.cpp - Error kinds and their HTTP responses -------------------===//
 
 #include "base/error.h"
 #include "nlohmann/json.hpp"
@@ -17,7 +17,7 @@
 
 using enum error_kind;
 
-// The order is that of the enum; a test checks it.
+// Indexed by error_kind; a test checks the order.
 constexpr std::array<error_answer, size_t(Last) + 1> Answers = {{
     {None, "ok", "", 200, outcome::Ran, false, 0},
     {BadRequest, "bad_request", Invalid, 400, outcome::NotRun, false, 0},
--- a/base/error.h
+++ b/base/error.h
@@ -1,8 +1,8 @@
-//===- error.h - The closed list of error kinds -----------------*- C++ -*-===//
+//===- error.h - Error kinds and their HTTP responses -----------*- C++ -*-===//
 //
-// Every failure in olivevalve is one of the kinds below. One table maps a kind
-// to what a caller or an operator is told: HTTP status, code, whether the
-// request is known not to have run, and when to come back.
+// Every failure in olivevalve is one of the kinds below. A table maps each kind
+// to its HTTP response: status, error code, whether the request has run, and
+// when to retry.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,7 +16,8 @@
 
 namespace olivevalve {
 
-/// Numbers travel between processes: add at the end, never renumber.
+/// The numbers are sent between processes and stored: add new kinds at the end
+/// and never renumber.
 enum class error_kind : uint8_t {
   None = 0,
   BadRequest = 1,
@@ -52,40 +53,45 @@
   Last = Quarantined
 };
 
-/// What is known about whether the work of a refused request ran.
+/// Whether a failed request has run at an upstream.
 enum class outcome : uint8_t { NotRun, Ran, Unknown };
 
-/// The answer that belongs to an error kind.
+/// The HTTP response for an error kind.
 struct error_answer {
   error_kind Kind;
-  std::string_view Code; ///< Machine-readable, stable.
-  std::string_view Type; ///< OpenAI error type.
+  std::string_view Code; ///< Stable, machine-readable error code.
+  std::string_view Type; ///< Error type as in OpenAI's API.
   int HttpStatus;
   outcome Outcome;
-  bool TryElsewhere;     ///< Another upstream may be tried, if safe.
-  int RetryAfterSeconds; ///< 0: no advice.
+  /// The request may be retried at another upstream, provided that repeating it
+  /// is safe.
+  bool TryElsewhere;
+  int RetryAfterSeconds; ///< Value of Retry-After; 0 omits the header.
 };
 
-/// The row of \p Kind; kinds out of range get the row of None.
+/// The response for \p Kind; kinds out of range get that of None.
 const error_answer &answerFor(error_kind Kind);
 
-/// The header value for an outcome: "not-run", "ran" or "unknown".
+/// The value of the X-Olivevalve-Outcome header: "not-run", "ran" or "unknown".
 std::string_view nameOf(outcome Outcome);
 
-/// A status that carries \p Kind; \p Message says what was wrong and what is
-/// allowed.
+/// Returns a status that carries \p Kind. \p Message should say what is wrong
+/// and what is allowed.
 absl::Status makeError(error_kind Kind, std::string_view Message);
 
-/// The kind carried by \p Status; BadRequest for a foreign failure.
+/// The kind carried by \p Status: None if it is OK, BadRequest if it is an
+/// error that makeError() did not create.
 error_kind kindOf(const absl::Status &Status);
 
-/// The message of \p Status; this absl has a string_view of its own.
+/// The message of \p Status as a std::string_view; absl::string_view is a
+/// distinct type in the absl version in use.
 std::string_view messageOf(const absl::Status &Status);
 
-/// The kind for a number received from another process.
+/// The kind for a number received from another process; BadRequest if this
+/// version does not have it.
 error_kind kindFromNumber(uint32_t Number);
 
-/// An OpenAI-shaped JSON error body.
+/// A JSON error body in the format of OpenAI's API.
 std::string errorBody(error_kind Kind, std::string_view Message);
 
 } // namespace olivevalve
--- a/base/field_lines.cpp
+++ b/base/field_lines.cpp
@@ -1,4 +1,4 @@
-//===- field_lines.cpp - Lines of fields in a JSON text -------------------===//
+//===- field_lines.cpp - Line numbers of JSON fields ----------------------===//
 
 #include "base/field_lines.h"
 #include <vector>
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Walks over the text once and notes where each value begins.
+/// Scans the text once and records the line on which each field begins.
 class line_walker {
 public:
   line_walker(std::string_view Text,
@@ -38,7 +38,7 @@
     ++At;
   }
 
-  // White space, commas, colons and both kinds of comments.
+  // Skips white space, commas, colons, and line and block comments.
   void skipSpace() {
     while (At < Text.size()) {
       if (Text.substr(At, 2) == "//") {
@@ -57,7 +57,8 @@
     }
   }
 
-  // Names with escapes are kept as they are written: errors name the others.
+  // Escapes in a name are not decoded. lineOf() doesn't find such a field and
+  // returns the line of the enclosing one.
   std::string takeString() {
     size_t Begin = ++At;
     while (At < Text.size() && peek() != '"')
@@ -70,10 +71,10 @@
   void walkObject(const std::string &Path) {
     ++At;
     for (skipSpace(); peek() == '"'; skipSpace()) {
-      size_t Begins = Line;
+      size_t NameLine = Line;
       std::string Name = takeString();
       std::string Field = Path.empty() ? Name : Path + "." + Name;
-      Lines.emplace(Field, Begins);
+      Lines.emplace(Field, NameLine);
       walkValue(Field);
     }
     ++At;
@@ -81,9 +82,9 @@
 
   void walkArray(const std::string &Path) {
     ++At;
-    size_t Place = 0;
+    size_t Index = 0;
     for (skipSpace(); At < Text.size() && peek() != ']'; skipSpace())
-      walkValue(Path + "[" + std::to_string(Place++) + "]");
+      walkValue(Path + "[" + std::to_string(Index++) + "]");
     ++At;
   }
 
@@ -104,10 +105,10 @@
     auto It = Lines.find(Path);
     if (It != Lines.end())
       return It->second;
-    size_t Cut = Path.find_last_of(".[");
-    if (Cut == std::string_view::npos)
+    size_t Separator = Path.find_last_of(".[");
+    if (Separator == std::string_view::npos)
       return 1;
-    Path = Path.substr(0, Cut);
+    Path = Path.substr(0, Separator);
   }
 }
 
--- a/base/field_lines.h
+++ b/base/field_lines.h
@@ -1,7 +1,7 @@
-//===- field_lines.h - Lines of fields in a JSON text -----------*- C++ -*-===//
+//===- field_lines.h - Line numbers of JSON fields --------------*- C++ -*-===//
 //
-// Tells on which line of a file a field stands, so that an error can name it.
-// Reads text that the JSON parser has taken already.
+// Finds the line on which a field of a JSON file begins, for error messages.
+// Only for text that the JSON parser has already accepted.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,12 +15,13 @@
 
 namespace olivevalve {
 
+/// The line number of each field in a JSON text.
 class field_lines {
 public:
-  /// \p Text is valid JSON, with comments or without.
+  /// \p Text must be valid JSON; comments are allowed.
   explicit field_lines(std::string_view Text);
-  /// Line, from 1, of the field at \p Path ("a.b[0].c"); of the nearest field
-  /// around it if it is missing.
+  /// The line, counted from 1, of the field at \p Path ("a.b[0].c"). If the
+  /// field is missing, the line of the innermost enclosing field that exists.
   size_t lineOf(std::string_view Path) const;
 
 private:
--- a/base/fields.cpp
+++ b/base/fields.cpp
@@ -1,4 +1,4 @@
-//===- fields.cpp - Checked reading of JSON documents ---------------------===//
+//===- fields.cpp - Validating reader for JSON documents ------------------===//
 
 #include "base/fields.h"
 #include "absl/strings/str_cat.h"
@@ -14,37 +14,40 @@
 
 namespace {
 
+// Bounds the nesting of documents, which recursive code walks.
 constexpr int MaxDepth = 64;
 
 std::string_view typeName(const json &Value) { return Value.type_name(); }
 
-std::string wrongType(std::string_view Wanted, const json &Value) {
+std::string wrongType(std::string_view Expected, const json &Value) {
   return absl::StrCat("is ", std::string(typeName(Value)), ", must be ",
-                      std::string(Wanted));
+                      std::string(Expected));
 }
 
-// Nesting outside strings; a cheap guard before the recursive parser.
-int nestingOf(std::string_view Text) {
+// Returns the nesting depth of objects and arrays. Brackets inside strings are
+// ignored, comments are not recognized. Protects recursive code that handles
+// the document from stack overflow.
+int nestingDepth(std::string_view Text) {
   int Depth = 0;
-  int Deepest = 0;
-  bool InText = false;
+  int MaxSeen = 0;
+  bool InString = false;
   for (size_t I = 0; I < Text.size(); ++I) {
     char C = Text[I];
-    if (InText) {
+    if (InString) {
       if (C == '\\')
         ++I;
       else if (C == '"')
-        InText = false;
+        InString = false;
       continue;
     }
     if (C == '"')
-      InText = true;
+      InString = true;
     else if (C == '{' || C == '[')
-      Deepest = std::max(Deepest, ++Depth);
+      MaxSeen = std::max(MaxSeen, ++Depth);
     else if (C == '}' || C == ']')
       --Depth;
   }
-  return Deepest;
+  return MaxSeen;
 }
 
 } // namespace
@@ -112,7 +115,7 @@
     return fault(Key, wrongType("a string", *Field));
   Out = Field->get<std::string>();
   if (Out.empty())
-    fault(Key, "is empty, must not be");
+    fault(Key, "is empty, must be a non-empty string");
 }
 
 void object_reader::number(std::string_view Key, double &Out,
@@ -134,7 +137,7 @@
   double Number = double(Out);
   number(Key, Number, Range, Presence);
   if (Number != std::floor(Number))
-    return fault(Key, "must be a whole number");
+    return fault(Key, "must be an integer");
   Out = int64_t(Number);
 }
 
@@ -153,7 +156,7 @@
     if (Element.is_string() && !Element.get_ref<const std::string &>().empty())
       Out.push_back(Element.get<std::string>());
     else
-      Faults.add(ElementPath, "must be a string that is not empty");
+      Faults.add(ElementPath, "must be a non-empty string");
   });
 }
 
@@ -195,9 +198,9 @@
     return;
   if (!Field->is_array())
     return fault(Key, wrongType("an array", *Field));
-  size_t Place = 0;
+  size_t Index = 0;
   for (const json &Element : *Field)
-    Each(Element, absl::StrCat(pathOf(Key), "[", Place++, "]"));
+    Each(Element, absl::StrCat(pathOf(Key), "[", Index++, "]"));
 }
 
 void object_reader::object(std::string_view Key,
@@ -222,7 +225,7 @@
 }
 
 absl::StatusOr<json> parseJson(std::string_view Text, std::string_view Source) {
-  if (nestingOf(Text) > MaxDepth)
+  if (nestingDepth(Text) > MaxDepth)
     return makeError(error_kind::BadRequest,
                      absl::StrCat(std::string(Source), ": nested deeper than ",
                                   MaxDepth, " levels"));
--- a/base/fields.h
+++ b/base/fields.h
@@ -1,8 +1,8 @@
-//===- fields.h - Checked reading of JSON documents -------------*- C++ -*-===//
+//===- fields.h - Validating reader for JSON documents ----------*- C++ -*-===//
 //
-// Reads a JSON object field by field and collects every fault with its path,
-// what was wrong and what is allowed. Used for settings files and for the
-// documents that operators send.
+// Reads a JSON object field by field and collects all errors, each with the
+// path of the field, what is wrong and what is allowed. Used for settings files
+// and for documents that operators send.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,14 +22,15 @@
 
 using json = nlohmann::json;
 
-/// Faults found in one document; each names its field.
+/// The errors found in one document.
 class fault_list {
 public:
+  /// Adds an error in the field at \p Path ("a.b[0].c").
   void add(std::string_view Path, std::string_view What);
   bool empty() const { return Faults.empty(); }
-  /// One line for each fault: "field: what".
+  /// One line per error: "field: what".
   std::string text() const;
-  /// The same for faults found in a file: "file: line N: field: what".
+  /// One line per error in a file: "file: line N: field: what".
   std::string textOf(const std::string &File, const field_lines &Lines) const;
 
 private:
@@ -42,17 +43,24 @@
 
 enum class presence : uint8_t { Optional, Required };
 
-/// Inclusive limits of a number.
+/// Inclusive bounds of a number.
 struct number_range {
   double Min;
   double Max;
 };
 
-/// Reads the fields of one object; finish() reports the fields nobody read.
+/// Reads the fields of one object. A missing optional field or an invalid one
+/// leaves the output unchanged; errors are added to the fault list. After all
+/// fields were read, finish() reports the unknown ones.
 class object_reader {
 public:
+  /// \p Path is the path of the object in the document, empty for the document
+  /// itself. \p Value and \p Faults must outlive the reader.
   object_reader(const json &Value, std::string Path, fault_list &Faults);
 
+  /// A string that must not be empty. Unlike other invalid values, an empty one
+  /// is stored in \p Out.
+
   void text(std::string_view Key, std::string &Out,
             presence Presence = presence::Optional);
   void number(std::string_view Key, double &Out, number_range Range,
@@ -60,8 +68,10 @@
   void integer(std::string_view Key, int64_t &Out, number_range Range,
                presence Presence = presence::Optional);
   void flag(std::string_view Key, bool &Out);
+  /// An array of non-empty strings. Replaces the contents of \p Out, which is
+  /// empty afterwards if the field is missing; invalid elements are left out.
   void texts(std::string_view Key, std::vector<std::string> &Out);
-  /// One of \p Names; \p Out is its place in the list.
+  /// One of \p Names; \p Out receives its index.
   void choice(std::string_view Key, size_t &Out,
               const std::vector<std::string_view> &Names);
   /// Calls \p Each with name and value of every member of an object field.
@@ -72,14 +82,19 @@
   void elements(
       std::string_view Key,
       const std::function<void(const json &, const std::string &Path)> &Each);
+  /// Calls \p Each with a reader for an object field, then finishes that
+  /// reader.
   void object(std::string_view Key,
               const std::function<void(object_reader &)> &Each);
   bool has(std::string_view Key) const;
-  /// The field as it stands, or null.
+  /// The unchecked value of a field, or null if it is missing. Like the
+  /// functions above, marks the field as known.
   const json *raw(std::string_view Key) {
     return find(Key, presence::Optional);
   }
+  /// Adds an error in field \p Key.
   void fault(std::string_view Key, std::string_view What);
+  /// Adds an error for each field that was not read.
   void finish();
 
 private:
@@ -89,17 +104,19 @@
   const json &Value;
   std::string Path;
   fault_list &Faults;
-  std::set<std::string, std::less<>> Known;
+  std::set<std::string, std::less<>> Known; ///< Fields that were read.
 };
 
-/// Parses JSON with comments; an error names \p Source, line and column.
-/// Documents nested deeper than 64 levels are refused.
+/// Parses JSON, in which comments are allowed. The error BadRequest names
+/// \p Source, the line and the cause. Documents nested deeper than 64 levels
+/// are rejected.
 absl::StatusOr<json> parseJson(std::string_view Text, std::string_view Source);
 
-/// Printable ASCII and spaces only: what may go into messages and headers.
+/// True if \p Text contains only printable ASCII characters and spaces, so that
+/// it can be used in messages and headers.
 bool isPrintable(std::string_view Text);
 
-/// Reads a whole file; an error names the file and the cause.
+/// Reads a whole file. The error BadRequest names the file and the cause.
 absl::StatusOr<std::string> readFile(const std::string &Path);
 
 } // namespace olivevalve
--- a/base/log.cpp
+++ b/base/log.cpp
@@ -1,4 +1,4 @@
-//===- log.cpp - Structured logs ------------------------------------------===//
+//===- log.cpp - Structured logging ---------------------------------------===//
 
 #include "base/log.h"
 #include "base/clock.h"
--- a/base/log.h
+++ b/base/log.h
@@ -1,7 +1,7 @@
-//===- log.h - Structured logs ----------------------------------*- C++ -*-===//
+//===- log.h - Structured logging -------------------------------*- C++ -*-===//
 //
-// One JSON object a line on standard output through Boost.Log. The level can
-// change while the process runs. Secrets are never passed to these functions.
+// Writes one JSON object per line to standard output through Boost.Log. The log
+// level can be changed at run time. Callers must not pass secrets.
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,22 +25,27 @@
   std::variant<std::string_view, int64_t, double> Value;
 };
 
-/// Who writes the lines; set once at start.
+/// Identifies the process in each log line.
 struct log_identity {
   std::string Node;
   std::string Roles;
   std::string DataHall;
 };
 
+/// Starts logging. Must be called once, at the start of the process.
 void startLog(const log_identity &Identity, log_level Level);
 void setLogLevel(log_level Level);
 
-/// True if lines of \p Level are written; for lines that cost to make.
+/// True if lines of \p Level are written. Lets callers skip building expensive
+/// log lines.
 bool logs(log_level Level);
 
-/// The level called \p Name: "debug", "info", "warning" or "error".
+/// The level called \p Name: "debug", "info", "warning" or "error";
+/// std::nullopt for any other name.
 std::optional<log_level> logLevelFromName(std::string_view Name);
 
+/// Writes one line if \p Level is enabled. Time, node, role and data hall are
+/// added to \p Fields.
 void logLine(log_level Level, std::string_view Message,
              std::initializer_list<log_field> Fields = {});
 
--- a/base/loop.cpp
+++ b/base/loop.cpp
@@ -1,4 +1,4 @@
-//===- loop.cpp - Watchers of the event loop ------------------------------===//
+//===- loop.cpp - Event loop watchers -------------------------------------===//
 
 #include "base/loop.h"
 #include "base/clock.h"
@@ -8,10 +8,11 @@
 
 namespace {
 
-// Timers have libev's usual priority, 0.
-constexpr int BeforeTimers = 1;
-// Of a timer, in seconds. A busy loop is late by some hundredths.
-constexpr double FarTooLate = 0.2;
+// libev priority of descriptor watchers, above the default 0 that timers have.
+constexpr int AboveTimersPriority = 1;
+// A timer later than this is deferred. On a busy loop timers are only some
+// hundredths of a second late.
+constexpr double MaxLatenessSeconds = 0.2;
 
 } // namespace
 
@@ -47,11 +48,12 @@
   start(Seconds);
 }
 
-// A process that wakes finds its wait interrupted: timers are due in a turn in
-// which no descriptor was looked at.
+// After a pause the loop's wait returns interrupted, so timers are due in an
+// iteration that has not polled descriptors. A late timer therefore restarts
+// with no delay, which lets the next iteration poll descriptors first.
 void timer::due() {
   double Now = steadySeconds();
-  if (!Deferred && Now > DueAt + FarTooLate) {
+  if (!Deferred && Now > DueAt + MaxLatenessSeconds) {
     Deferred = true;
     return start(0);
   }
@@ -69,7 +71,7 @@
         static_cast<descriptor_watch *>(W->data)->Callback(Events);
       },
       -1, EV_READ);
-  ev_set_priority(&Watcher, BeforeTimers);
+  ev_set_priority(&Watcher, AboveTimersPriority);
   Watcher.data = this;
 }
 
@@ -79,9 +81,9 @@
   ev_io_start(Loop, &Watcher);
 }
 
-pause_watch::pause_watch(struct ev_loop *Loop, double LeastSeconds,
+pause_watch::pause_watch(struct ev_loop *Loop, double MinSeconds,
                          std::function<void(double)> Callback)
-    : Loop(Loop), LeastSeconds(LeastSeconds), LastTurn(steadySeconds()),
+    : Loop(Loop), MinSeconds(MinSeconds), LastTurn(steadySeconds()),
       Callback(std::move(Callback)) {
   ev_check_init(&Watcher, [](struct ev_loop *, ev_check *W, int) {
     static_cast<pause_watch *>(W->data)->turn();
@@ -96,7 +98,7 @@
 void pause_watch::turn() {
   double Now = steadySeconds();
   double Seconds = Now - std::exchange(LastTurn, Now);
-  if (Seconds >= LeastSeconds)
+  if (Seconds >= MinSeconds)
     Callback(Seconds);
 }
 
--- a/base/loop.h
+++ b/base/loop.h
@@ -1,7 +1,7 @@
-//===- loop.h - Watchers of the event loop ----------------------*- C++ -*-===//
+//===- loop.h - Event loop watchers -----------------------------*- C++ -*-===//
 //
-// Owning wrappers around libev watchers. A watcher stops when it is destroyed.
-// Every task of a process runs on one loop and owns its watchers.
+// RAII wrappers around libev watchers, which stop when destroyed. All tasks of
+// a process run on one loop, and each owns its watchers.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,9 +13,10 @@
 
 namespace olivevalve {
 
-/// A one-shot or repeating timer; times are in seconds. One that is far too
-/// late, as after a pause of the process, lets the descriptors go first: what
-/// has arrived is heard before a timer says that it has not.
+/// A one-shot or repeating timer. If it fires very late, as after a pause of
+/// the process, the callback is deferred until the loop has handled ready
+/// descriptors. Otherwise a timeout could expire although the awaited message
+/// has already arrived.
 class timer {
 public:
   timer(struct ev_loop *Loop, std::function<void()> Callback);
@@ -34,14 +35,15 @@
 
   struct ev_loop *Loop;
   ev_timer Watcher{};
-  double Interval = 0; ///< 0: one shot.
-  double DueAt = 0;
-  bool Deferred = false; ///< Was too late, and lets the descriptors go first.
+  double Interval = 0; ///< In seconds; 0 for a one-shot timer.
+  double DueAt = 0;    ///< In seconds of steadySeconds().
+  /// The timer fired very late and was deferred.
+  bool Deferred = false;
   std::function<void()> Callback;
 };
 
-/// Tells when a descriptor can be read or written. In one turn of the loop this
-/// comes before timers.
+/// Reports when a file descriptor is ready. Within one loop iteration its
+/// callback runs before those of timers.
 class descriptor_watch {
 public:
   /// \p Callback gets the EV_READ / EV_WRITE bits that are ready.
@@ -50,9 +52,12 @@
   descriptor_watch(const descriptor_watch &) = delete;
   descriptor_watch &operator=(const descriptor_watch &) = delete;
 
+  /// Watches \p Descriptor for the EV_READ / EV_WRITE bits in \p Events.
+  /// Replaces what was watched before.
   void start(int Descriptor, int Events);
   void stop() { ev_io_stop(Loop, &Watcher); }
-  /// Makes the callback run in the next turn as if the descriptor was ready.
+  /// Makes the callback run in the next loop iteration as if the descriptor
+  /// were ready for reading.
   void feed() { ev_feed_event(Loop, &Watcher, EV_READ); }
 
 private:
@@ -61,14 +66,16 @@
   std::function<void(int)> Callback;
 };
 
-/// Tells that this process stood still: stopped by a signal, frozen with its
-/// VM, or held up by itself. Runs before anything else of the turn that
-/// notices. What runs on the loop must wake it more often than the bound.
+/// Detects that the process did not run for a while because it was stopped by a
+/// signal, suspended with its VM, or blocked in a callback. The callback runs
+/// before any other in the loop iteration that detects the pause. Waiting for
+/// events looks like a pause too, so something on the loop, such as a repeating
+/// timer, must wake it more often than the bound.
 class pause_watch {
 public:
-  /// \p Callback gets the seconds since the turn before, at least
-  /// \p LeastSeconds.
-  pause_watch(struct ev_loop *Loop, double LeastSeconds,
+  /// \p Callback receives the seconds since the previous loop iteration, which
+  /// are at least \p MinSeconds.
+  pause_watch(struct ev_loop *Loop, double MinSeconds,
               std::function<void(double Seconds)> Callback);
   ~pause_watch();
   pause_watch(const pause_watch &) = delete;
@@ -78,13 +85,13 @@
   void turn();
 
   struct ev_loop *Loop;
-  double LeastSeconds;
+  double MinSeconds;
   double LastTurn;
   ev_check Watcher{};
   std::function<void(double)> Callback;
 };
 
-/// Runs once in every turn of the loop, before it waits.
+/// Runs a callback in each loop iteration, before the loop waits for events.
 class before_wait {
 public:
   before_wait(struct ev_loop *Loop, std::function<void()> Callback);
--- a/base/metrics.cpp
+++ b/base/metrics.cpp
@@ -13,29 +13,32 @@
 
 namespace bh = boost::histogram;
 
-// Half a millisecond to a minute in 24 steps on a log scale: neighbours are
-// 1.6 apart, enough to read a 95th percentile against a target.
+// The buckets cover half a millisecond to a minute in 24 logarithmic steps. The
+// ratio of neighbouring bounds is 1.6, precise enough to compare a 95th
+// percentile with a target.
 constexpr unsigned Bins = 24;
-constexpr double Smallest = 5e-4;
-constexpr double Largest = 60;
+constexpr double LowestBound = 5e-4;
+constexpr double HighestBound = 60;
 
 using log_axis = bh::axis::regular<double, bh::axis::transform::log>;
 using histogram =
-    decltype(bh::make_histogram(log_axis(Bins, Smallest, Largest)));
+    decltype(bh::make_histogram(log_axis(Bins, LowestBound, HighestBound)));
 
-constexpr std::array<std::string_view, size_t(measure::Last) + 1> Names = {
-    "time_to_first_token_seconds", "between_tokens_seconds", "total_seconds",
-    "queue_seconds", "cost"};
+constexpr std::array<std::string_view, size_t(measure::Last) + 1> MeasureNames =
+    {"time_to_first_token_seconds", "between_tokens_seconds", "total_seconds",
+     "queue_seconds", "cost"};
 
 struct series {
-  histogram Histogram = bh::make_histogram(log_axis(Bins, Smallest, Largest));
+  histogram Histogram =
+      bh::make_histogram(log_axis(Bins, LowestBound, HighestBound));
   double Sum = 0;
 };
 
 } // namespace
 
 struct metrics::tables {
-  std::array<std::map<std::string, series, std::less<>>, Names.size()> Series;
+  std::array<std::map<std::string, series, std::less<>>, MeasureNames.size()>
+      Series;
   std::map<std::string, std::map<std::string, uint64_t, std::less<>>,
            std::less<>>
       Counters;
@@ -89,8 +92,8 @@
 
 std::string metrics::prometheusText() const {
   std::string Text;
-  for (size_t I = 0; I < Names.size(); ++I) {
-    std::string Name = "olivevalve_" + std::string(Names[I]);
+  for (size_t I = 0; I < MeasureNames.size(); ++I) {
+    std::string Name = "olivevalve_" + std::string(MeasureNames[I]);
     if (!Tables->Series[I].empty())
       absl::StrAppend(&Text, "# TYPE ", Name, " histogram\n");
     for (const auto &[Class, Series] : Tables->Series[I]) {
--- a/base/metrics.h
+++ b/base/metrics.h
@@ -1,7 +1,8 @@
 //===- metrics.h - Counters and histograms ----------------------*- C++ -*-===//
 //
-// Histograms per client account or class and counters per name, printed as
-// Prometheus text. Times are seconds; cost is in price units of the models.
+// Histograms per client account or priority class, labelled counters, and
+// gauges, printed in Prometheus text format. Times are in seconds, costs in the
+// price units of the models.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,6 +18,7 @@
 
 namespace olivevalve {
 
+/// The quantities recorded in histograms.
 enum class measure : uint8_t {
   TimeToFirstToken,
   BetweenTokens,
@@ -26,15 +28,16 @@
   Last = Cost
 };
 
-/// The class of a priority from 0 (first) to 3, as it stands in metrics. No
-/// client account is called so: names of objects have no blanks.
+/// The metric label of a priority from 0 (most urgent) to 3; higher values are
+/// treated as 3. It can't clash with the name of a client account, since names
+/// of objects contain no spaces.
 constexpr std::string_view priorityClass(uint32_t Priority) {
   constexpr std::array<std::string_view, 4> Names = {
       "priority 0", "priority 1", "priority 2", "priority 3"};
   return Names[Priority < Names.size() ? Priority : Names.size() - 1];
 }
 
-/// All metrics of one process; every role adds to the same registry.
+/// The metrics of one process, shared by all its roles.
 class metrics {
 public:
   metrics();
@@ -45,16 +48,19 @@
   /// Adds one value to the histogram of \p Class, a client account or
   /// priority class.
   void record(measure Measure, std::string_view Class, double Value);
+  /// Adds \p Add to a counter. With \p Add 0, creates it.
   void count(std::string_view Counter, std::string_view Label,
              uint64_t Add = 1);
-  /// Sets a counter that is kept elsewhere.
+  /// Sets a counter to a \p Value that is maintained elsewhere.
   void setCount(std::string_view Counter, std::string_view Label,
                 uint64_t Value);
+  /// Sets a gauge.
   void gauge(std::string_view Name, double Value);
-  /// Calls \p Each for every row of every counter.
+  /// Calls \p Each for each counter and label.
   void eachCount(
       const std::function<void(std::string_view Counter, std::string_view Label,
                                uint64_t Value)> &Each) const;
+  /// All metrics in Prometheus text format.
   std::string prometheusText() const;
 
 private:
--- a/net/caller_connection.cpp
+++ b/net/caller_connection.cpp
@@ -1,4 +1,4 @@
-//===- caller_connection.cpp - One connection of a caller -----------------===//
+//===- caller_connection.cpp - HTTP/1.1 server connections ----------------===//
 
 #include "net/caller_connection.h"
 #include "base/clock.h"
@@ -11,16 +11,18 @@
 
 namespace {
 
-// Of the next request, while one is being answered: callers here do not
-// pipeline, a short request may come early all the same.
-constexpr size_t MostAhead = 64 << 10;
-// A refusal must reach a caller that is still sending its body: closing at once
-// would reset the connection and take the answer along.
+// Bytes of further requests that are buffered while one is being answered;
+// above this the connection stops reading. Callers are not expected to pipeline
+// but a short request may arrive early.
+constexpr size_t MaxPipelinedBytes = 64 << 10;
+// How long a connection stays open after its last response. Closing at once
+// while the caller is still sending its body would reset the connection, and
+// the caller could lose the response.
 constexpr double LingerSeconds = 0.5;
-// How exactly times of callers are kept.
+// Interval at which timeouts are checked, and so their precision.
 constexpr double SweepSeconds = 0.25;
 
-std::string_view reasonOf(int Status) {
+std::string_view reasonPhrase(int Status) {
   switch (Status) {
   case 400:
     return "Bad Request";
@@ -43,21 +45,21 @@
   Stream.OnBytes = [this](std::string_view Bytes) { receive(Bytes); };
   Stream.OnEnd = [this](bool) { onEnd(); };
   Stream.OnDrained = [this] {
-    if (User)
-      User->onCallerDrained();
+    if (Producer)
+      Producer->onCallerDrained();
   };
   Reader.OnHead = [this] { onHead(); };
   Reader.OnBody = [this](std::string_view Bytes) {
     if (!Lingering)
       Body.append(Bytes);
   };
-  rest();
+  becomeIdle();
 }
 
-// Between requests: the next one may take its time to begin.
-void caller_connection::rest() {
-  RestingSince = steadySeconds();
-  GiveUpAt = RestingSince + Host.limits().IdleSeconds;
+// Waits for the next request, which must start within the idle timeout.
+void caller_connection::becomeIdle() {
+  IdleSince = steadySeconds();
+  TimeoutAt = IdleSince + Host.limits().IdleSeconds;
 }
 
 void caller_connection::receive(std::string_view Bytes) {
@@ -65,39 +67,39 @@
     return;
   if (!Busy)
     return parse(Bytes);
-  Ahead.append(Bytes);
-  if (Ahead.size() > MostAhead)
+  PipelinedBytes.append(Bytes);
+  if (PipelinedBytes.size() > MaxPipelinedBytes)
     Stream.setReading(false);
 }
 
 void caller_connection::parse(std::string_view Bytes) {
   if (Reader.fresh())
-    GiveUpAt = steadySeconds() + Host.limits().HeaderSeconds;
-  size_t Taken = Reader.feed(Bytes);
+    TimeoutAt = steadySeconds() + Host.limits().HeaderSeconds;
+  size_t Consumed = Reader.feed(Bytes);
   if (Lingering || Ended)
     return;
   const caller_limits &Limits = Host.limits();
   if (Reader.failed())
     return refuse(400, Reader.error());
   if (!Reader.headDone() && Reader.headBytes() > Limits.HeaderBytes)
-    return refuse(431, "the head is larger than allowed");
+    return refuse(431, "the request head exceeds the size limit");
   if (Body.size() > Limits.BodyBytes)
-    return refuse(413, "the body is larger than allowed");
-  // A body has as long as a connection may rest, counted from its last bytes.
+    return refuse(413, "the request body exceeds the size limit");
+  // While a body is received, the idle timeout runs from its latest bytes.
   if (Reader.headDone())
-    GiveUpAt = steadySeconds() + Limits.IdleSeconds;
+    TimeoutAt = steadySeconds() + Limits.IdleSeconds;
   if (!Reader.done())
     return;
-  Ahead.assign(Bytes.substr(Taken));
+  PipelinedBytes.assign(Bytes.substr(Consumed));
   dispatch();
 }
 
 void caller_connection::onHead() {
   const http_head &Head = Reader.head();
   if (Reader.headBytes() > Host.limits().HeaderBytes)
-    return refuse(431, "the head is larger than allowed");
+    return refuse(431, "the request head exceeds the size limit");
   if (Head.Length && *Head.Length > Host.limits().BodyBytes)
-    return refuse(413, "the body is larger than allowed");
+    return refuse(413, "the request body exceeds the size limit");
   const std::string *Expect = Head.find("Expect");
   if (Expect && sameHeader(*Expect, "100-continue"))
     Stream.write("HTTP/1.1 100 Continue\r\n\r\n");
@@ -105,27 +107,27 @@
 
 void caller_connection::dispatch() {
   Busy = true;
-  GiveUpAt = 0;
+  TimeoutAt = 0;
   const http_head &Head = Reader.head();
   KeepAlive = Head.KeepAlive;
   HeadOnly = Head.Method == "HEAD";
   Host.onRequest(*this, Head, std::move(Body));
 }
 
-void caller_connection::refuse(int Status, std::string_view Why) {
-  Host.onMalformed(Status, Why);
+void caller_connection::refuse(int Status, std::string_view Message) {
+  Host.onMalformed(Status, Message);
   KeepAlive = false;
   error_kind Kind =
       Status == 413 ? error_kind::BodyTooLarge : error_kind::BadRequest;
-  std::string Text = errorBody(Kind, Why);
-  Stream.write(headOf(Status, reasonOf(Status),
+  std::string Text = errorBody(Kind, Message);
+  Stream.write(headOf(Status, reasonPhrase(Status),
                       {{"Content-Type", "application/json"},
                        {"X-Olivevalve-Outcome", "not-run"},
                        {"Content-Length", std::to_string(Text.size())}}) +
                Text);
   Lingering = true;
   Busy = false;
-  GiveUpAt = steadySeconds() + LingerSeconds;
+  TimeoutAt = steadySeconds() + LingerSeconds;
 }
 
 std::string
@@ -147,17 +149,17 @@
 
 void caller_connection::writeWhole(int Status, std::string_view Reason,
                                    const std::vector<head_line> &Lines,
-                                   std::string_view AnswerBody) {
+                                   std::string_view ResponseBody) {
   if (Ended)
     return;
   Chunked = EndsByClose = false;
   KeepAlive = KeepAlive && !Host.closesAfterAnswer();
   std::vector<head_line> All = Lines;
   if (!hasNoBody(Status))
-    All.push_back({"Content-Length", std::to_string(AnswerBody.size())});
+    All.push_back({"Content-Length", std::to_string(ResponseBody.size())});
   std::string Bytes = headOf(Status, Reason, All);
   if (!HeadOnly && !hasNoBody(Status))
-    Bytes.append(AnswerBody);
+    Bytes.append(ResponseBody);
   Stream.write(Bytes);
 }
 
@@ -166,7 +168,8 @@
   if (Ended)
     return;
   KeepAlive = KeepAlive && !Host.closesAfterAnswer();
-  // Callers of the older protocol know the end by the connection's.
+  // HTTP/1.0 has no chunked coding: there the end of the connection marks the
+  // end of the body.
   Chunked = !Reader.head().IsHttp10;
   EndsByClose = !Chunked;
   KeepAlive = KeepAlive && Chunked;
@@ -194,67 +197,69 @@
     return;
   if (Chunked)
     Stream.write("0\r\n\r\n");
-  done();
+  endRequest();
 }
 
 void caller_connection::breakOff() {
   if (Ended)
     return;
-  User = nullptr;
-  end();
+  Producer = nullptr;
+  endConnection();
 }
 
-void caller_connection::done() {
-  User = nullptr;
+void caller_connection::endRequest() {
+  Producer = nullptr;
   Busy = false;
   if (!KeepAlive) {
     Lingering = true;
-    // The end of the connection is the end of an answer without framing.
-    GiveUpAt = steadySeconds() + (EndsByClose ? 0 : LingerSeconds);
+    // Without chunked coding the response only ends when the connection does,
+    // so don't linger.
+    TimeoutAt = steadySeconds() + (EndsByClose ? 0 : LingerSeconds);
     return;
   }
   Body.clear();
   Reader.next();
-  rest();
+  becomeIdle();
   Stream.setReading(true);
-  if (Ahead.empty())
+  if (PipelinedBytes.empty())
     return;
-  std::string Next = std::move(Ahead);
-  Ahead.clear();
+  std::string Next = std::move(PipelinedBytes);
+  PipelinedBytes.clear();
   parse(Next);
 }
 
 bool caller_connection::stalled(double Now, double Seconds) {
-  bool Moved = Stream.sentBytes() != SeenBytes || Stream.unsent() == 0;
-  SeenBytes = Stream.sentBytes();
-  if (Moved)
-    MovedAt = Now;
-  return !Moved && Now > MovedAt + Seconds;
+  bool Progressed = Stream.sentBytes() != LastSentBytes || Stream.unsent() == 0;
+  LastSentBytes = Stream.sentBytes();
+  if (Progressed)
+    LastProgressAt = Now;
+  return !Progressed && Now > LastProgressAt + Seconds;
 }
 
-void caller_connection::onTimeOver() {
-  bool HalfSent = !Lingering && !Reader.fresh();
-  if (HalfSent)
-    return refuse(408, "the request took too long to arrive");
+void caller_connection::onTimeout() {
+  bool PartlyReceived = !Lingering && !Reader.fresh();
+  if (PartlyReceived)
+    return refuse(408, "the request was not received in time");
   if (Lingering && Stream.unsent() > 0) {
-    // The answer is still on its way; the stream gives up on a dead path.
-    GiveUpAt = steadySeconds() + LingerSeconds;
+    // The response is still being sent. If the caller takes no more of it,
+    // caller_pool::sweep() closes the connection as stalled.
+    TimeoutAt = steadySeconds() + LingerSeconds;
     return;
   }
-  end();
+  endConnection();
 }
 
 void caller_connection::onEnd() {
-  std::shared_ptr<caller_user> Old = std::move(User);
-  User = nullptr;
-  end();
-  if (Old)
-    Old->onCallerGone();
+  std::shared_ptr<caller_user> OldProducer = std::move(Producer);
+  Producer = nullptr;
+  endConnection();
+  if (OldProducer)
+    OldProducer->onCallerGone();
 }
 
 void caller_connection::close() { onEnd(); }
 
-void caller_connection::end() {
+void caller_connection::endConnection() {
   if (Ended)
     return;
   Ended = true;
@@ -263,14 +268,16 @@
   Host.ended(*this);
 }
 
-caller_pool::caller_pool(struct ev_loop *Loop, caller_host &Host, size_t Most)
-    : Loop(Loop), Host(Host), Most(Most), Sweep(Loop, [this] { sweep(); }),
-      Prepare(Loop, [this] { Over.clear(); }) {
+caller_pool::caller_pool(struct ev_loop *Loop, caller_host &Host,
+                         size_t MaxConnections)
+    : Loop(Loop), Host(Host), MaxConnections(MaxConnections),
+      Sweep(Loop, [this] { sweep(); }),
+      Prepare(Loop, [this] { EndedConnections.clear(); }) {
   Sweep.startRepeating(SweepSeconds);
 }
 
 void caller_pool::take(int Socket) {
-  if (Open.size() >= Most && !closeLongestResting()) {
+  if (Open.size() >= MaxConnections && !closeLongestIdle()) {
     ::close(Socket);
     return;
   }
@@ -283,15 +290,14 @@
   auto It = Open.find(&Connection);
   if (It == Open.end())
     return;
-  Over.push_back(std::move(It->second));
+  EndedConnections.push_back(std::move(It->second));
   Open.erase(It);
 }
 
-bool caller_pool::closeLongestResting() {
+bool caller_pool::closeLongestIdle() {
   caller_connection *Longest = nullptr;
   for (auto &[Raw, Connection] : Open)
-    if (!Raw->busy() &&
-        (!Longest || Raw->restingSince() < Longest->restingSince()))
+    if (!Raw->busy() && (!Longest || Raw->idleSince() < Longest->idleSince()))
       Longest = Raw;
   if (Longest)
     Longest->close();
@@ -299,27 +305,27 @@
 }
 
 void caller_pool::closeResting() {
-  std::vector<caller_connection *> Resting;
+  std::vector<caller_connection *> Idle;
   for (auto &[Raw, Connection] : Open)
     if (!Raw->busy())
-      Resting.push_back(Raw);
-  for (caller_connection *Each : Resting)
+      Idle.push_back(Raw);
+  for (caller_connection *Each : Idle)
     Each->close();
 }
 
 void caller_pool::sweep() {
   double Now = steadySeconds();
-  std::vector<caller_connection *> Late;
+  std::vector<caller_connection *> TimedOut;
   std::vector<caller_connection *> Stalled;
   for (auto &[Raw, Connection] : Open)
     if (Raw->stalled(Now, Host.limits().IdleSeconds))
       Stalled.push_back(Raw);
-    else if (!Raw->busy() && Raw->giveUpAt() > 0 && Now >= Raw->giveUpAt())
-      Late.push_back(Raw);
+    else if (!Raw->busy() && Raw->timeoutAt() > 0 && Now >= Raw->timeoutAt())
+      TimedOut.push_back(Raw);
   for (caller_connection *Each : Stalled)
     Each->close();
-  for (caller_connection *Each : Late)
-    Each->onTimeOver();
+  for (caller_connection *Each : TimedOut)
+    Each->onTimeout();
 }
 
 } // namespace olivevalve
--- a/net/caller_connection.h
+++ b/net/caller_connection.h
@@ -1,7 +1,8 @@
-//===- caller_connection.h - One connection of a caller ---------*- C++ -*-===//
+//===- caller_connection.h - HTTP/1.1 server connections --------*- C++ -*-===//
 //
-// Reads requests one after the other, hands each over whole, and writes its
-// answer. Enforces what callers may send and how long they may take.
+// The server side of a caller's HTTP connection. It reads one request at a
+// time, passes it to the host once head and body are complete, and writes the
+// response. It enforces the size limits and timeouts of caller_limits.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,123 +19,149 @@
 
 class caller_connection;
 
-/// Whoever answers a request.
+/// Produces the response to one request and is notified about the connection.
 class caller_user {
 public:
   virtual ~caller_user() = default;
-  /// The caller has closed its connection; nothing can be answered any more.
+  /// The connection has ended, so no response can be sent any more.
   virtual void onCallerGone() = 0;
-  /// What was written has been taken.
+  /// The kernel has accepted all bytes written so far.
   virtual void onCallerDrained() = 0;
 };
 
-/// Where requests go.
+/// Owner of a set of connections. Receives their requests.
 class caller_host {
 public:
   virtual ~caller_host() = default;
   virtual const caller_limits &limits() const = 0;
-  /// True if callers should open a new connection for their next request.
+  /// True if responses must carry "Connection: close", so that callers open a
+  /// new connection for their next request.
   virtual bool closesAfterAnswer() const = 0;
+  /// A complete request has arrived on \p Connection.
   virtual void onRequest(caller_connection &Connection, http_head Head,
                          std::string Body) = 0;
-  /// A request was refused before it was whole.
-  virtual void onMalformed(int Status, std::string_view Why) = 0;
+  /// The connection itself answered an incomplete or invalid request with the
+  /// error \p Status; onRequest() is not called for it.
+  virtual void onMalformed(int Status, std::string_view Message) = 0;
+  /// \p Connection has closed its socket and can be destroyed once its current
+  /// callback has returned.
   virtual void ended(caller_connection &Connection) = 0;
 };
 
+/// One connection of a caller. Handles one request at a time.
 class caller_connection {
 public:
+  /// Takes over the connected \p Socket.
   caller_connection(struct ev_loop *Loop, caller_host &Host, int Socket);
 
-  /// The request in hand is answered by \p NewUser.
-  void answeredBy(std::shared_ptr<caller_user> NewUser) {
-    User = std::move(NewUser);
+  /// Makes \p NewProducer the producer of the response to the current request.
+  void answeredBy(std::shared_ptr<caller_user> NewProducer) {
+    Producer = std::move(NewProducer);
   }
-  /// The whole answer. \p Lines must not hold headers of one connection.
+  /// Sends a complete response and ends the request. \p Lines must not contain
+  /// hop-by-hop headers.
   void reply(int Status, std::string_view Reason,
              const std::vector<head_line> &Lines, std::string_view Body) {
     writeWhole(Status, Reason, Lines, Body);
     finish();
   }
-  /// The same, but the next request waits until finish().
+  /// Like reply(), but the connection reads no further request until finish()
+  /// is called.
   void writeWhole(int Status, std::string_view Reason,
                   const std::vector<head_line> &Lines, std::string_view Body);
-  /// An answer in parts, of a length not known before; finish() ends it.
+  /// Starts a streamed response of unknown length: write() adds to the body and
+  /// finish() ends it.
   void begin(int Status, std::string_view Reason,
              const std::vector<head_line> &Lines);
   void write(std::string_view Bytes);
   void finish();
-  /// Ends an answer so that the caller's library sees it as broken.
+  /// Closes the connection without completing the response, so that the
+  /// caller's HTTP library reports a truncated response.
   void breakOff();
 
+  /// True while a request is being answered.
   bool busy() const { return Busy; }
+  /// Bytes written that the kernel has not accepted yet.
   size_t unsent() const { return Stream.unsent(); }
-  /// When it is to be closed if nothing more happens; steady seconds.
-  double giveUpAt() const { return GiveUpAt; }
-  /// True if what was written has not moved since the last call.
+  /// When onTimeout() is due, in seconds of steadySeconds(); 0 means that
+  /// there is no timeout.
+  double timeoutAt() const { return TimeoutAt; }
+  /// True if there are unsent bytes and the kernel has accepted none for more
+  /// than \p Seconds. \p Now is in seconds of steadySeconds(). Progress is only
+  /// noticed by calls, so this must be called regularly.
   bool stalled(double Now, double Seconds);
-  double restingSince() const { return RestingSince; }
-  /// Its time is over.
-  void onTimeOver();
+  /// When the connection last became idle, in seconds of steadySeconds().
+  double idleSince() const { return IdleSince; }
+  /// Handles an expired timeout: answers a partly received request with 408,
+  /// and closes the connection in all other cases, but not before a final
+  /// response has been sent.
+  void onTimeout();
+  /// Closes the connection and notifies the producer of a pending response.
   void close();
 
 private:
   void receive(std::string_view Bytes);
   void parse(std::string_view Bytes);
   void onHead();
-  void refuse(int Status, std::string_view Why);
+  void refuse(int Status, std::string_view Message);
   void dispatch();
   void onEnd();
-  void done();
-  void rest();
-  void end();
+  void endRequest();
+  void becomeIdle();
+  void endConnection();
   std::string headOf(int Status, std::string_view Reason,
                      const std::vector<head_line> &Lines) const;
 
   caller_host &Host;
   tcp_stream Stream;
   http_reader Reader;
-  std::shared_ptr<caller_user> User;
+  std::shared_ptr<caller_user> Producer;
   std::string Body;
-  std::string Ahead;      ///< Bytes of the next request, read during this one.
-  bool Busy = false;      ///< A request is being answered.
-  bool Lingering = false; ///< Refused: what still comes is thrown away.
+  /// Bytes of the next request, received while this one is being answered.
+  std::string PipelinedBytes;
+  bool Busy = false; ///< A request is being answered.
+  /// The last response has been written; further input is discarded until the
+  /// connection is closed.
+  bool Lingering = false;
   bool Ended = false;
-  bool KeepAlive = false; ///< After the answer in hand.
+  /// The connection stays open after the current response.
+  bool KeepAlive = false;
   bool Chunked = false;
+  /// The end of the connection marks the end of the response body.
   bool EndsByClose = false;
-  bool HeadOnly = false;
-  double GiveUpAt = 0;
-  double RestingSince = 0;
-  uint64_t SeenBytes = 0; ///< Sent when it was last looked at.
-  double MovedAt = 0;
+  bool HeadOnly = false; ///< The request is a HEAD request.
+  double TimeoutAt = 0;
+  double IdleSince = 0;
+  uint64_t LastSentBytes = 0; ///< Bytes sent as of the last call of stalled().
+  double LastProgressAt = 0;  ///< When stalled() last noticed progress.
 };
 
-/// All connections of one listener, with a bound on their number.
+/// All connections of one listener, limited in number.
 class caller_pool {
 public:
-  caller_pool(struct ev_loop *Loop, caller_host &Host, size_t Most);
+  caller_pool(struct ev_loop *Loop, caller_host &Host, size_t MaxConnections);
 
-  /// Takes over a connected \p Socket. With no room left, the connection that
-  /// has rested longest gives way; when all are busy the new one is closed.
+  /// Takes over the connected \p Socket. At the limit, the connection that has
+  /// been idle longest is closed first; if all are busy, \p Socket is closed.
   void take(int Socket);
   /// Must be called by the host for each connection that has ended.
   void ended(caller_connection &Connection);
-  /// Closes those without a request.
+  /// Closes all connections that are not answering a request.
   void closeResting();
   size_t size() const { return Open.size(); }
 
 private:
-  bool closeLongestResting();
+  bool closeLongestIdle();
   void sweep();
 
   struct ev_loop *Loop;
   caller_host &Host;
-  size_t Most;
+  size_t MaxConnections;
   std::unordered_map<caller_connection *, std::unique_ptr<caller_connection>>
       Open;
-  // Freed before the next wait: none may go inside its own callback.
-  std::vector<std::unique_ptr<caller_connection>> Over;
+  // Ended connections. They are destroyed before the loop waits again, because
+  // a connection must not be destroyed inside one of its own callbacks.
+  std::vector<std::unique_ptr<caller_connection>> EndedConnections;
   timer Sweep;
   before_wait Prepare;
 };
--- a/net/datagram.cpp
+++ b/net/datagram.cpp
@@ -11,10 +11,11 @@
 
 namespace {
 
-// The most that a datagram holds.
-constexpr size_t MostBytes = 64 << 10;
-// Read in one turn of the loop, so that requests are not held up.
-constexpr int MostInOneTurn = 64;
+// No UDP datagram is larger than this.
+constexpr size_t MaxDatagramBytes = 64 << 10;
+// Bounds the datagrams read in one loop iteration, so that a burst does not
+// delay requests.
+constexpr int MaxDatagramsPerTurn = 64;
 
 } // namespace
 
@@ -28,42 +29,42 @@
 }
 
 bool datagram_socket::bind(const std::string &Address) {
-  sockaddr_in Where{};
-  if (!parseIpAddress(Address, Where))
+  sockaddr_in SocketAddress{};
+  if (!parseIpAddress(Address, SocketAddress))
     return false;
   Socket = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  auto *Raw = reinterpret_cast<sockaddr *>(&Where);
-  if (Socket < 0 || ::bind(Socket, Raw, sizeof(Where)) != 0)
+  auto *Raw = reinterpret_cast<sockaddr *>(&SocketAddress);
+  if (Socket < 0 || ::bind(Socket, Raw, sizeof(SocketAddress)) != 0)
     return false;
-  socklen_t Size = sizeof(Where);
+  socklen_t Size = sizeof(SocketAddress);
   getsockname(Socket, Raw, &Size);
-  Bound = formatIpAddress(Where);
+  Bound = formatIpAddress(SocketAddress);
   Watch.start(Socket, EV_READ);
   return true;
 }
 
 bool datagram_socket::send(const std::string &To, std::string_view Bytes) {
-  sockaddr_in Where{};
-  if (Socket < 0 || !parseIpAddress(To, Where))
+  sockaddr_in SocketAddress{};
+  if (Socket < 0 || !parseIpAddress(To, SocketAddress))
     return false;
-  auto *Raw = reinterpret_cast<sockaddr *>(&Where);
+  auto *Raw = reinterpret_cast<sockaddr *>(&SocketAddress);
   ssize_t Sent = sendto(Socket, Bytes.data(), Bytes.size(), MSG_NOSIGNAL, Raw,
-                        sizeof(Where));
+                        sizeof(SocketAddress));
   SentBytes += Sent > 0 ? uint64_t(Sent) : 0;
   return Sent == ssize_t(Bytes.size());
 }
 
 void datagram_socket::receive() {
-  static std::array<char, MostBytes> Buffer;
-  for (int I = 0; I < MostInOneTurn; ++I) {
+  static std::array<char, MaxDatagramBytes> Buffer;
+  for (int I = 0; I < MaxDatagramsPerTurn; ++I) {
     sockaddr_in From{};
     socklen_t Size = sizeof(From);
-    ssize_t Got = recvfrom(Socket, Buffer.data(), Buffer.size(), 0,
-                           reinterpret_cast<sockaddr *>(&From), &Size);
-    if (Got < 0)
+    ssize_t Received = recvfrom(Socket, Buffer.data(), Buffer.size(), 0,
+                                reinterpret_cast<sockaddr *>(&From), &Size);
+    if (Received < 0)
       return;
-    ReceivedBytes += uint64_t(Got);
-    OnBytes(formatIpAddress(From), {Buffer.data(), size_t(Got)});
+    ReceivedBytes += uint64_t(Received);
+    OnBytes(formatIpAddress(From), {Buffer.data(), size_t(Received)});
   }
 }
 
--- a/net/datagram.h
+++ b/net/datagram.h
@@ -1,6 +1,7 @@
 //===- datagram.h - A UDP socket on the event loop --------------*- C++ -*-===//
 //
-// For news that the next news replace: nothing is kept, repeated or ordered.
+// For state reports that the next report supersedes: datagrams are neither
+// queued nor retransmitted nor ordered.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,9 +16,11 @@
 
 namespace olivevalve {
 
+/// A non-blocking IPv4 UDP socket that sends and receives on one address.
 class datagram_socket {
 public:
-  /// \p From: "IP:port" of the sender. The bytes are valid during the call.
+  /// Called for each datagram. \p From is the sender as "IP:port". \p Bytes is
+  /// only valid during the call.
   using handler =
       std::function<void(const std::string &From, std::string_view Bytes)>;
 
@@ -26,11 +29,13 @@
   datagram_socket(const datagram_socket &) = delete;
   datagram_socket &operator=(const datagram_socket &) = delete;
 
-  /// Binds to "IP:port"; port 0 lets the kernel choose.
+  /// Binds to "IP:port"; with port 0 the kernel chooses the port. Returns false
+  /// if \p Address is invalid or cannot be bound.
   bool bind(const std::string &Address);
-  /// The address bound, with the port that was chosen; empty: none.
+  /// The bound address with the actual port; empty if the socket is not bound.
   const std::string &address() const { return Bound; }
-  /// False if the address is none, or the system has no room for it.
+  /// Sends one datagram to \p To, an "IP:port". Returns false if the socket is
+  /// not bound, \p To is invalid, or the kernel does not accept the datagram.
   bool send(const std::string &To, std::string_view Bytes);
   uint64_t sentBytes() const { return SentBytes; }
   uint64_t receivedBytes() const { return ReceivedBytes; }
--- a/net/gatekeeper.cpp
+++ b/net/gatekeeper.cpp
@@ -1,4 +1,4 @@
-//===- gatekeeper.cpp - Who may connect to our links ----------------------===//
+//===- gatekeeper.cpp - Authentication of link peers ----------------------===//
 
 #include "net/gatekeeper.h"
 #include "base/log.h"
@@ -12,8 +12,8 @@
 
 constexpr const char *ZapEndpoint = "inproc://zeromq.zap.01";
 constexpr size_t KeyBytes = 32;
-// Frames of a question: version, request id, domain, address, identity,
-// mechanism, client key.
+// Indexes of the frames of a ZAP request: version, request id, domain, address,
+// identity, mechanism, client key.
 constexpr size_t RequestIdFrame = 1;
 constexpr size_t AddressFrame = 3;
 constexpr size_t MechanismFrame = 5;
@@ -28,12 +28,12 @@
   zmq_z85_decode(Key.data(), Context.keys().PublicKey.c_str());
   AllowedKey.assign(reinterpret_cast<char *>(Key.data()), Key.size());
   Socket = std::make_unique<detail::link_socket>(Context, Loop, ZMQ_REP,
-                                                 [this] { answerOne(); });
+                                                 [this] { handleRequest(); });
   zmq_bind(Socket->get(), ZapEndpoint);
   Socket->watch();
 }
 
-void gatekeeper::answerOne() {
+void gatekeeper::handleRequest() {
   std::vector<std::string> Frames;
   bool More = true;
   while (More) {
@@ -44,19 +44,21 @@
   }
   if (Frames.size() <= RequestIdFrame)
     return;
-  bool Good = Frames.size() > KeyFrame && Frames[MechanismFrame] == "CURVE" &&
-              Frames[KeyFrame] == AllowedKey;
-  if (!Good) {
+  bool Allowed = Frames.size() > KeyFrame &&
+                 Frames[MechanismFrame] == "CURVE" &&
+                 Frames[KeyFrame] == AllowedKey;
+  if (!Allowed) {
     ++Refused;
     std::string Address =
         Frames.size() > AddressFrame ? Frames[AddressFrame] : "";
-    logLine(log_level::Warning, "a peer without the system's key was refused",
+    logLine(log_level::Warning,
+            "rejected a link peer without the deployment's CURVE key",
             {{"address", Address}});
   }
   Socket->send("1.0", true);
   Socket->send(Frames[RequestIdFrame], true);
-  Socket->send(Good ? "200" : "400", true);
-  Socket->send(Good ? "OK" : "the key is not the system's", true);
+  Socket->send(Allowed ? "200" : "400", true);
+  Socket->send(Allowed ? "OK" : "unknown client key", true);
   Socket->send("", true);
   Socket->send("", false);
 }
--- a/net/gatekeeper.h
+++ b/net/gatekeeper.h
@@ -1,8 +1,8 @@
-//===- gatekeeper.h - Who may connect to our links --------------*- C++ -*-===//
+//===- gatekeeper.h - Authentication of link peers --------------*- C++ -*-===//
 //
-// Answers ZeroMQ's question (ZAP, RFC 27) whether a peer's key may connect.
-// All processes of one system hold one key pair; a peer that cannot prove it
-// holds the same one is refused, and so is one without any key.
+// Authenticates peers of server links for ZeroMQ, by its authentication
+// protocol (ZAP, RFC 27). All processes of one deployment share one CURVE key
+// pair; a peer that has no key or a different one is rejected.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,16 +13,19 @@
 
 namespace olivevalve {
 
+/// The ZAP handler of a link_context.
 class gatekeeper {
 public:
-  /// Must exist before the first link binds. Does nothing without keys.
+  /// Must be constructed before the first server_link binds. Does nothing if
+  /// the context has no keys.
   gatekeeper(link_context &Context, struct ev_loop *Loop);
+  /// Number of authentication requests rejected so far.
   uint64_t refused() const { return Refused; }
 
 private:
-  void answerOne();
+  void handleRequest();
 
-  std::string AllowedKey; ///< 32 bytes, binary.
+  std::string AllowedKey; ///< The public key, 32 bytes in binary form.
   std::unique_ptr<detail::link_socket> Socket;
   uint64_t Refused = 0;
 };
--- a/net/http_client.cpp
+++ b/net/http_client.cpp
@@ -1,4 +1,4 @@
-//===- http_client.cpp - HTTP towards engines and services ----------------===//
+//===- http_client.cpp - HTTP client on the event loop --------------------===//
 
 #include "net/http_client.h"
 #include <utility>
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Idle connections kept open for reuse.
-constexpr long KeptConnections = 64;
+// Connections that libcurl keeps open for reuse.
+constexpr long MaxCachedConnections = 64;
 
 } // namespace
 
@@ -18,7 +18,7 @@
   CURL *Easy = nullptr;
   curl_slist *Headers = nullptr;
   fetch_options Options;
-  bool HeadSeen = false;
+  bool HeadReported = false;
 
   ~fetch() {
     if (Easy)
@@ -29,13 +29,13 @@
 
 http_client::http_client(struct ev_loop *Loop)
     : Loop(Loop), Multi(curl_multi_init()),
-      Timer(Loop, [this] { action(CURL_SOCKET_TIMEOUT, 0); }),
-      Prepare(Loop, [this] { clean(); }) {
+      Timer(Loop, [this] { socketAction(CURL_SOCKET_TIMEOUT, 0); }),
+      Prepare(Loop, [this] { cleanUp(); }) {
   curl_multi_setopt(Multi, CURLMOPT_SOCKETFUNCTION, &http_client::onSocket);
   curl_multi_setopt(Multi, CURLMOPT_SOCKETDATA, this);
   curl_multi_setopt(Multi, CURLMOPT_TIMERFUNCTION, &http_client::onTimer);
   curl_multi_setopt(Multi, CURLMOPT_TIMERDATA, this);
-  curl_multi_setopt(Multi, CURLMOPT_MAXCONNECTS, KeptConnections);
+  curl_multi_setopt(Multi, CURLMOPT_MAXCONNECTS, MaxCachedConnections);
 }
 
 http_client::~http_client() {
@@ -92,12 +92,13 @@
   auto It = Fetches.find(Id);
   if (It == Fetches.end())
     return;
-  // A handle may not be removed inside the library: detach it, remove later.
+  // A handle must not be removed inside a libcurl callback: drop the user's
+  // callbacks now and remove the handle before the loop waits again.
   It->second->Options.OnHead = nullptr;
   It->second->Options.OnBytes = nullptr;
   It->second->Options.OnDone = nullptr;
   if (InLibrary) {
-    Doomed.push_back(Id);
+    ToCancel.push_back(Id);
     return;
   }
   std::unique_ptr<fetch> Fetch = std::move(It->second);
@@ -118,7 +119,7 @@
   if (What == CURL_POLL_REMOVE) {
     if (Watch) {
       Watch->stop();
-      Self->Retired.push_back(std::move(Watch));
+      Self->StoppedWatches.push_back(std::move(Watch));
     }
     Self->Watches.erase(Socket);
     return 0;
@@ -128,7 +129,7 @@
         Self->Loop, [Self, Socket](int Events) {
           int Mask = (Events & EV_READ ? CURL_CSELECT_IN : 0) |
                      (Events & EV_WRITE ? CURL_CSELECT_OUT : 0);
-          Self->action(Socket, Mask);
+          Self->socketAction(Socket, Mask);
         });
   int Events = (What & CURL_POLL_IN ? EV_READ : 0) |
                (What & CURL_POLL_OUT ? EV_WRITE : 0);
@@ -158,8 +159,8 @@
   auto *Fetch = static_cast<fetch *>(Context);
   if (!Fetch->Options.OnBytes)
     return 0;
-  if (!Fetch->HeadSeen) {
-    Fetch->HeadSeen = true;
+  if (!Fetch->HeadReported) {
+    Fetch->HeadReported = true;
     long Status = 0;
     const char *Type = nullptr;
     curl_easy_getinfo(Fetch->Easy, CURLINFO_RESPONSE_CODE, &Status);
@@ -169,25 +170,25 @@
   }
   if (!Fetch->Options.OnBytes)
     return 0;
-  bool Taken = Fetch->Options.OnBytes({Data, Size * Count});
-  return Taken ? Size * Count : size_t(CURL_WRITEFUNC_PAUSE);
+  bool Accepted = Fetch->Options.OnBytes({Data, Size * Count});
+  return Accepted ? Size * Count : size_t(CURL_WRITEFUNC_PAUSE);
 }
 
-void http_client::action(curl_socket_t Socket, int Mask) {
+void http_client::socketAction(curl_socket_t Socket, int Mask) {
   int Running = 0;
   InLibrary = true;
   curl_multi_socket_action(Multi, Socket, Mask, &Running);
   InLibrary = false;
-  collect();
+  finishTransfers();
 }
 
-void http_client::clean() {
-  Retired.clear();
-  for (fetch_id Id : std::exchange(Doomed, {}))
+void http_client::cleanUp() {
+  StoppedWatches.clear();
+  for (fetch_id Id : std::exchange(ToCancel, {}))
     cancel(Id);
 }
 
-void http_client::collect() {
+void http_client::finishTransfers() {
   int Left = 0;
   while (CURLMsg *Message = curl_multi_info_read(Multi, &Left)) {
     if (Message->msg != CURLMSG_DONE)
@@ -203,7 +204,7 @@
     const char *Type = nullptr;
     curl_easy_getinfo(Fetch->Easy, CURLINFO_RESPONSE_CODE, &Status);
     curl_easy_getinfo(Fetch->Easy, CURLINFO_CONTENT_TYPE, &Type);
-    if (Code == CURLE_OK && !Fetch->HeadSeen && Fetch->Options.OnHead)
+    if (Code == CURLE_OK && !Fetch->HeadReported && Fetch->Options.OnHead)
       Fetch->Options.OnHead(int(Status), Type ? Type : "");
     if (!Fetch->Options.OnDone)
       continue;
--- a/net/http_client.h
+++ b/net/http_client.h
@@ -1,6 +1,7 @@
-//===- http_client.h - HTTP towards engines and services --------*- C++ -*-===//
+//===- http_client.h - HTTP client on the event loop ------------*- C++ -*-===//
 //
-// libcurl's multi interface on the event loop.
+// Runs HTTP requests to engines and services through libcurl's multi
+// interface on the event loop.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,32 +21,40 @@
 
 /// How a transfer ended.
 struct fetch_result {
-  int Status = 0;
-  std::string Error;      ///< Empty: the answer came whole.
-  bool NeverSent = false; ///< No connection: the request cannot have run.
+  int Status = 0;    ///< HTTP status; 0 if no response head was received.
+  std::string Error; ///< Empty if the response was received completely.
+  /// The connection could not be established, so the request cannot have run.
+  /// Not set if connecting timed out.
+  bool NeverSent = false;
   bool TimedOut = false;
 };
 
+/// One request and the callbacks for its response. Unset callbacks are not
+/// called; without OnBytes any response with a body fails.
 struct fetch_options {
   std::string Method = "GET";
   std::string Url;
   std::string Body;
   std::vector<std::string> Headers; ///< "Name: value".
-  double TimeoutSeconds = 0;        ///< 0: none.
-  double ConnectSeconds = 2;
-  /// By a connection of its own. By one that rested it may be sent twice: where
-  /// that breaks without an answer, libcurl sends it again.
+  double TimeoutSeconds = 0;        ///< For the whole transfer; 0: no limit.
+  double ConnectSeconds = 2;        ///< Timeout for establishing a connection.
+  /// Uses a new connection for this request only, so that the request is sent
+  /// at most once. When a reused keep-alive connection breaks before any
+  /// response, libcurl sends the request again on another one.
   bool SentOnce = false;
-  /// Each line of the answer's head.
+  /// Called with each line of the response head.
   std::function<void(std::string_view Line)> OnHeader;
-  /// Status and content type, before the first byte.
+  /// Called once with status and content type, before the first body bytes or,
+  /// if a successful response has no body, before OnDone.
   std::function<void(int Status, std::string_view ContentType)> OnHead;
-  /// A part of the body; false pauses until resume() and the part comes again.
+  /// Called with each part of the body. Returning false pauses the transfer
+  /// until resume(), after which the same bytes are delivered again.
   std::function<bool(std::string_view Bytes)> OnBytes;
+  /// Called once when the transfer has succeeded or failed.
   std::function<void(const fetch_result &)> OnDone;
 };
 
-/// Many transfers at once; each is named by its fetch_id.
+/// Runs concurrent transfers, each identified by its fetch_id.
 class http_client {
 public:
   explicit http_client(struct ev_loop *Loop);
@@ -55,8 +64,10 @@
 
   using fetch_id = uint64_t;
   fetch_id start(fetch_options Options);
-  /// Ends a fetch without a callback; the connection is closed.
+  /// Aborts a transfer without calling OnDone and closes its connection. Does
+  /// nothing if the transfer has already ended.
   void cancel(fetch_id Id);
+  /// Continues a transfer that OnBytes has paused.
   void resume(fetch_id Id);
 
 private:
@@ -66,21 +77,22 @@
   static int onTimer(CURLM *Multi, long Milliseconds, void *Self);
   static size_t onHeader(char *Data, size_t Size, size_t Count, void *Fetch);
   static size_t onBytes(char *Data, size_t Size, size_t Count, void *Fetch);
-  void action(curl_socket_t Socket, int Mask);
-  void collect();
-  void clean();
+  void socketAction(curl_socket_t Socket, int Mask);
+  void finishTransfers();
+  void cleanUp();
 
   struct ev_loop *Loop;
   CURLM *Multi;
   timer Timer;
   std::map<curl_socket_t, std::unique_ptr<descriptor_watch>> Watches;
   std::map<fetch_id, std::unique_ptr<fetch>> Fetches;
-  // Freed before the next wait: neither may go inside its own callback.
-  std::vector<std::unique_ptr<descriptor_watch>> Retired;
-  std::vector<fetch_id> Doomed;
+  // Watches to destroy and fetches to cancel before the loop waits again:
+  // neither may be destroyed inside one of its own callbacks.
+  std::vector<std::unique_ptr<descriptor_watch>> StoppedWatches;
+  std::vector<fetch_id> ToCancel;
   before_wait Prepare;
   fetch_id NextId = 1;
-  bool InLibrary = false;
+  bool InLibrary = false; ///< A call into libcurl is on the stack.
 };
 
 } // namespace olivevalve
--- a/net/http_reader.cpp
+++ b/net/http_reader.cpp
@@ -1,4 +1,4 @@
-//===- http_reader.cpp - HTTP/1.1 messages, byte for byte -----------------===//
+//===- http_reader.cpp - Strict HTTP/1.1 message parser -------------------===//
 
 #include "net/http_reader.h"
 #include <algorithm>
@@ -10,7 +10,8 @@
 
 namespace {
 
-constexpr size_t LineOverhead = 4; // Colon, blank and the end of the line.
+// Bytes of a header line besides name and value: ": " and CRLF.
+constexpr size_t LineOverhead = 4;
 
 } // namespace
 
@@ -81,17 +82,17 @@
 size_t http_reader::feed(std::string_view Input) {
   if (Done || failed() || Input.empty())
     return 0;
-  size_t Taken =
+  size_t Consumed =
       http_parser_execute(&Parser, &settings(), Input.data(), Input.size());
-  Bytes += Taken;
+  Bytes += Consumed;
   if (!HeadDone)
-    HeadBytes += Taken;
+    HeadBytes += Consumed;
   http_errno Code = HTTP_PARSER_ERRNO(&Parser);
   if (Done)
-    return Taken;
+    return Consumed;
   if (Code != HPE_OK && Error.empty())
     Error = http_errno_description(Code);
-  return Taken;
+  return Consumed;
 }
 
 bool http_reader::endOfInput() {
@@ -113,7 +114,7 @@
 int http_reader::onField(http_parser *Parser, const char *At, size_t Size) {
   http_reader &Reader = self(Parser);
   if (Reader.HeadDone)
-    return 0; // Trailers are not passed on.
+    return 0; // Trailers are dropped.
   if (Reader.LastWasValue || Reader.Head.Lines.empty())
     Reader.Head.Lines.emplace_back();
   Reader.LastWasValue = false;
@@ -150,32 +151,34 @@
   Reader.HeadDone = true;
   if (Reader.OnHead)
     Reader.OnHead();
-  // 1: no body follows.
+  // Returning 1 tells http_parser that no body follows.
   return Reader.HeadOnly ? 1 : 0;
 }
 
-// What the parser lets through and others may read in another way.
+// Rejects messages that http_parser accepts but other parsers may interpret
+// differently.
 void http_reader::checkHead() {
   int Hosts = 0;
-  // The whole head may have come in one piece.
+  // feed() counts the bytes of a call only after parsing them, so a head that
+  // arrived in one call has not been counted yet: add up its parts instead.
   HeadBytes = Head.Method.size() + Head.Target.size();
   for (const head_line &Line : Head.Lines) {
     HeadBytes += Line.Name.size() + Line.Value.size() + LineOverhead;
     Hosts += sameHeader(Line.Name, "Host");
-    bool Coding = sameHeader(Line.Name, "Transfer-Encoding");
-    if (Coding && !sameHeader(Line.Value, "chunked"))
-      Error = "transfer codings other than 'chunked' are not taken";
+    bool IsTransferCoding = sameHeader(Line.Name, "Transfer-Encoding");
+    if (IsTransferCoding && !sameHeader(Line.Value, "chunked"))
+      Error = "transfer codings other than 'chunked' are not supported";
     if (Line.Name.empty() || Line.Name.find(' ') != std::string::npos)
-      Error = "the name of a header is empty or holds a blank";
+      Error = "a header name is empty or contains a space";
     if (Line.Value.find('\0') != std::string::npos)
-      Error = "a header holds a zero byte";
+      Error = "a header value contains a NUL byte";
   }
   if (Parser.uses_transfer_encoding && (Parser.flags & F_CONTENTLENGTH))
-    Error = "both a length and a transfer coding";
+    Error = "both Content-Length and Transfer-Encoding are present";
   if (Side == http_side::Request && Hosts > 1)
     Error = "more than one Host header";
   if (Side == http_side::Request && Head.Method == "CONNECT")
-    Error = "CONNECT is not taken";
+    Error = "the CONNECT method is not supported";
 }
 
 int http_reader::onBodyBytes(http_parser *Parser, const char *At, size_t Size) {
@@ -188,7 +191,7 @@
 int http_reader::onMessageComplete(http_parser *Parser) {
   http_reader &Reader = self(Parser);
   Reader.Done = true;
-  // Bytes after the end belong to another message.
+  // Bytes after the end belong to the next message: make the parser return.
   http_parser_pause(Parser, 1);
   return 0;
 }
--- a/net/http_reader.h
+++ b/net/http_reader.h
@@ -1,8 +1,9 @@
-//===- http_reader.h - HTTP/1.1 messages, byte for byte ---------*- C++ -*-===//
+//===- http_reader.h - Strict HTTP/1.1 message parser -----------*- C++ -*-===//
 //
-// Reads requests or answers from a connection through http_parser and hands
-// them on as they come: for what must pass through unchanged. Strict: whatever
-// two readers could take for different messages is an error.
+// Parses requests or responses of a connection incrementally with http_parser
+// and passes body bytes on as they arrive. Header order and values are kept
+// for proxying. To prevent request smuggling, any message that two parsers
+// could interpret differently is an error.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,60 +20,72 @@
 
 namespace olivevalve {
 
-/// True if two names of headers are the same.
+/// Compares two header names, ignoring case.
 bool sameHeader(std::string_view A, std::string_view B);
 
+/// One header field.
 struct head_line {
   std::string Name;
   std::string Value;
 };
 
-/// Start line and headers of a message, in their order.
+/// Start line and headers of a message.
 struct http_head {
-  std::string Method;     ///< Requests.
-  std::string Target;     ///< Requests: path and query as sent.
-  int Status = 0;         ///< Answers.
-  std::string Reason;     ///< Answers.
-  bool KeepAlive = false; ///< The sender means to use the connection again.
-  bool IsHttp10 = false;
+  std::string Method; ///< Requests only.
+  std::string Target; ///< Requests only: path and query as sent.
+  int Status = 0;     ///< Responses only.
+  std::string Reason; ///< Responses only: the reason phrase.
+  /// The message allows the connection to be reused after it.
+  bool KeepAlive = false;
+  bool IsHttp10 = false; ///< HTTP/1.0 or older.
   bool Chunked = false;
-  std::optional<uint64_t> Length; ///< Of the body, when told in the head.
-  std::vector<head_line> Lines;
+  /// Value of Content-Length, if present.
+  std::optional<uint64_t> Length;
+  std::vector<head_line> Lines; ///< Headers in the order received.
 
   /// The value of the first header called \p Name, or null.
   const std::string *find(std::string_view Name) const;
-  /// Names that the Connection header ties to this connection.
+  /// True if a Connection header lists \p Name, which makes that header
+  /// hop-by-hop.
   bool isTied(std::string_view Name) const;
 };
 
+/// Which messages a reader parses.
 enum class http_side : uint8_t { Request, Answer };
 
-/// Reads one message after the other.
+/// Parses consecutive messages of one connection.
 class http_reader {
 public:
   explicit http_reader(http_side Side);
   http_reader(const http_reader &) = delete;
   http_reader &operator=(const http_reader &) = delete;
 
+  /// Called when the head is complete and valid.
   std::function<void()> OnHead;
+  /// Called with body bytes as they arrive, without transfer coding.
   std::function<void(std::string_view)> OnBody;
 
-  /// Reads up to the end of a message; returns how many bytes it took.
+  /// Parses \p Bytes up to the end of the current message at most. Returns the
+  /// number of bytes consumed; 0 after an error or the end of the message.
   size_t feed(std::string_view Bytes);
-  /// The connection has ended: true if that ends the message properly.
+  /// Must be called when the connection ends. Returns true if the current
+  /// message is complete, including one whose body ends with the connection.
   bool endOfInput();
-  /// Makes ready for the next message. \p HeadOnly: an answer without a body
-  /// whatever its head says, as to HEAD.
+  /// Resets the reader for the next message. \p HeadOnly marks a response
+  /// without a body whatever its head says, as for a HEAD request.
   void next(bool HeadOnly = false);
 
   const http_head &head() const { return Head; }
+  /// True once the head is complete and valid.
   bool headDone() const { return HeadDone; }
+  /// True once the message is complete.
   bool done() const { return Done; }
-  /// No byte of a message has been read.
+  /// True if no byte of the current message has been consumed.
   bool fresh() const { return Bytes == 0; }
   bool failed() const { return !Error.empty(); }
+  /// What is wrong with the message; empty if there is no error.
   const std::string &error() const { return Error; }
-  /// Bytes of the message's head read so far.
+  /// Size of the head received so far in bytes.
   size_t headBytes() const { return HeadBytes; }
 
 private:
--- a/net/http_server.cpp
+++ b/net/http_server.cpp
@@ -1,4 +1,4 @@
-//===- http_server.cpp - HTTP towards callers and operators ---------------===//
+//===- http_server.cpp - HTTP server on the event loop --------------------===//
 
 #include "net/http_server.h"
 #include <algorithm>
@@ -9,11 +9,12 @@
 
 namespace {
 
-// From the first byte of a head to its last: what a slow link needs for 16 KiB.
+// Time limit for receiving a request head, from its first byte to its last.
+// Enough for 16 KiB over a slow link.
 constexpr double HeaderSeconds = 10;
 
-/// Resolves %XX; what is no escape stays as it is.
-std::string unescaped(std::string_view Text) {
+/// Decodes %XX escapes; invalid escapes are copied unchanged.
+std::string percentDecoded(std::string_view Text) {
   std::string Out;
   for (size_t I = 0; I < Text.size(); ++I) {
     unsigned Byte = 0;
@@ -30,7 +31,7 @@
   return Out;
 }
 
-std::string_view reasonOf(int Status) {
+std::string_view reasonPhrase(int Status) {
   switch (Status / 100) {
   case 2:
     return "OK";
@@ -56,7 +57,7 @@
                              caller_connection &NewConnection,
                              http_head NewHead, std::string NewBody)
     : Server(&Server), Connection(&NewConnection), Head(std::move(NewHead)),
-      Path(unescaped(
+      Path(percentDecoded(
           std::string_view(Head.Target).substr(0, Head.Target.find('?')))),
       Body(std::move(NewBody)) {}
 
@@ -66,17 +67,18 @@
 }
 
 std::string http_exchange::query(const char *Name) const {
-  size_t Mark = Head.Target.find('?');
-  std::string_view Rest = Mark == std::string::npos
-                              ? std::string_view()
-                              : std::string_view(Head.Target).substr(Mark + 1);
+  size_t QueryMark = Head.Target.find('?');
+  std::string_view Rest =
+      QueryMark == std::string::npos
+          ? std::string_view()
+          : std::string_view(Head.Target).substr(QueryMark + 1);
   while (!Rest.empty()) {
     size_t End = std::min(Rest.find('&'), Rest.size());
     std::string_view Pair = Rest.substr(0, End);
     Rest.remove_prefix(std::min(End + 1, Rest.size()));
     size_t Equals = std::min(Pair.find('='), Pair.size());
-    if (unescaped(Pair.substr(0, Equals)) == Name)
-      return unescaped(Pair.substr(std::min(Equals + 1, Pair.size())));
+    if (percentDecoded(Pair.substr(0, Equals)) == Name)
+      return percentDecoded(Pair.substr(std::min(Equals + 1, Pair.size())));
   }
   return "";
 }
@@ -87,7 +89,7 @@
   if (Answered || !Connection)
     return;
   Answered = Finished = true;
-  Connection->writeWhole(Status, reasonOf(Status),
+  Connection->writeWhole(Status, reasonPhrase(Status),
                          withType(ContentType, Headers), ReplyBody);
   if (Connection && Connection->unsent() == 0)
     Server->settleSoon(*this);
@@ -98,7 +100,8 @@
   if (Answered || !Connection)
     return;
   Answered = true;
-  Connection->begin(Status, reasonOf(Status), withType(ContentType, Headers));
+  Connection->begin(Status, reasonPhrase(Status),
+                    withType(ContentType, Headers));
 }
 
 void http_exchange::write(std::string_view Bytes) {
@@ -119,10 +122,10 @@
 void http_exchange::abort() {
   if (!Connection)
     return;
-  caller_connection *Broken = Connection;
+  caller_connection *Aborted = Connection;
   std::function<void()> Gone = OnGone;
   end();
-  Broken->breakOff();
+  Aborted->breakOff();
   if (Gone)
     Gone();
 }
@@ -137,20 +140,21 @@
 
 void http_exchange::onCallerDrained() { Server->settleSoon(*this); }
 
-// Everything written so far has been taken by the caller.
+// Reports that the kernel has accepted everything written, and completes the
+// exchange if the response is finished. Does nothing if bytes are unsent.
 void http_exchange::settle() {
   auto Keep = shared_from_this();
   if (!Connection || Connection->unsent() > 0)
     return;
-  size_t Taken = std::exchange(Chunks, 0);
-  if (Taken > 0 && OnDrained)
-    OnDrained(Taken);
+  size_t Accepted = std::exchange(Chunks, 0);
+  if (Accepted > 0 && OnDrained)
+    OnDrained(Accepted);
   if (!Connection || !Finished || Chunks > 0)
     return;
-  caller_connection *Whole = Connection;
+  caller_connection *Completed = Connection;
   std::function<void()> Complete = OnComplete;
   end();
-  Whole->finish();
+  Completed->finish();
   if (Complete)
     Complete();
 }
@@ -200,7 +204,8 @@
 }
 
 void http_server::beforeWait() {
-  // Settling may write more, which may be taken at once.
+  // A callback may write more, and if the kernel accepts that at once, the
+  // exchange is due again.
   while (!Due.empty())
     for (const auto &Weak : std::exchange(Due, {}))
       if (auto Exchange = Weak.lock())
--- a/net/http_server.h
+++ b/net/http_server.h
@@ -1,8 +1,8 @@
-//===- http_server.h - HTTP towards callers and operators -------*- C++ -*-===//
+//===- http_server.h - HTTP server on the event loop ------------*- C++ -*-===//
 //
-// A request is handed over whole, the answer may be given at once or streamed
-// later; a slow reader holds back the writer through OnDrained and is cut off
-// when it stalls.
+// Serves callers and operators. The handler receives complete requests and
+// responds at once, later, or as a stream. OnDrained gives a streaming handler
+// backpressure from a slow reader; a reader that stalls is disconnected.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,14 +20,17 @@
 
 namespace olivevalve {
 
+/// Limits that an http_server enforces.
 struct http_limits {
   size_t MaxBodyBytes = 8 << 20;
   unsigned MaxConnections = 4000;
-  unsigned IdleSeconds = 75; ///< Without progress of a connection.
+  /// How long a connection may stay idle or make no progress.
+  unsigned IdleSeconds = 75;
   size_t MaxHeaderBytes = 16 << 10;
 };
 
-/// One request and its answer. Kept by whoever answers.
+/// One request and its response. Shared by the handler and, until the exchange
+/// is over, the connection.
 class http_exchange : public caller_user,
                       public std::enable_shared_from_this<http_exchange> {
 public:
@@ -35,29 +38,39 @@
                 http_head Head, std::string Body);
 
   const std::string &method() const { return Head.Method; }
-  /// Without the query, escapes resolved.
+  /// The path without the query, percent-decoded.
   const std::string &path() const { return Path; }
   const std::string &body() const { return Body; }
+  /// The value of the first header called \p Name, or "".
   std::string header(const char *Name) const;
-  /// A value of the query part, or "".
+  /// The first value of query parameter \p Name, percent-decoded, or "".
   std::string query(const char *Name) const;
 
-  /// Gives the whole answer.
+  /// Sends the complete response. Ignored if a response was already started or
+  /// the connection has ended.
   void reply(int Status, std::string_view ContentType, std::string_view Body,
              const std::vector<head_line> &Headers = {});
-  /// Starts an answer of unknown length.
+  /// Starts a response of unknown length: write() adds to its body and finish()
+  /// ends it. Ignored in the same cases as reply().
   void startStream(int Status, std::string_view ContentType,
                    const std::vector<head_line> &Headers = {});
   void write(std::string_view Bytes);
   void finish();
-  /// Ends a stream so that the caller's library sees it as broken.
+  /// Closes the connection without completing the response, so that the
+  /// caller's HTTP library reports a truncated response. Calls OnGone.
   void abort();
+  /// True once a response was started.
   bool answered() const { return Answered; }
+  /// True once the exchange is over and nothing can be sent any more.
   bool gone() const { return !Connection; }
 
-  std::function<void()> OnGone;     ///< The caller has left before the end.
-  std::function<void()> OnComplete; ///< The whole answer was written out.
-  std::function<void(size_t)> OnDrained; ///< Chunks taken by the caller.
+  /// Called when the connection ends before the response is complete.
+  std::function<void()> OnGone;
+  /// Called when the kernel has accepted the complete response.
+  std::function<void()> OnComplete;
+  /// Called when the kernel has accepted everything written, with the number of
+  /// write() calls since the last time.
+  std::function<void(size_t)> OnDrained;
 
   void onCallerGone() override;
   void onCallerDrained() override;
@@ -68,15 +81,16 @@
   void end();
 
   class http_server *Server;
-  caller_connection *Connection; ///< Null once it is over.
+  caller_connection *Connection; ///< Null once the exchange is over.
   http_head Head;
   std::string Path;
   std::string Body;
-  size_t Chunks = 0; ///< Written and not yet told as taken.
+  size_t Chunks = 0; ///< write() calls not reported through OnDrained yet.
   bool Answered = false;
   bool Finished = false;
 };
 
+/// Accepts connections and passes their requests to a handler.
 class http_server : public caller_host {
 public:
   using handler = std::function<void(std::shared_ptr<http_exchange>)>;
@@ -85,11 +99,14 @@
   http_server(const http_server &) = delete;
   http_server &operator=(const http_server &) = delete;
 
-  /// Binds to "host:port" (IP numbers); port 0 lets the kernel choose.
+  /// Binds to "IP:port"; with port 0 the kernel chooses the port. Returns false
+  /// if \p Address is invalid or cannot be bound.
   bool bind(const std::string &Address) { return Listener.bind(Address); }
+  /// The bound address with the actual port.
   const std::string &address() const { return Listener.address(); }
-  /// No new connections; those that live go on.
+  /// Accepts no new connections; open ones continue.
   void stopListening() { Listener.close(); }
+  /// Number of requests whose response is not complete.
   size_t openExchanges() const { return Live.size(); }
 
 private:
@@ -100,8 +117,8 @@
                  std::string Body) override;
   void onMalformed(int, std::string_view) override {}
   void ended(caller_connection &Connection) override;
-  /// Tells what was written and taken, before the next wait: never inside the
-  /// writer's own call.
+  /// Schedules http_exchange::settle() before the loop waits again, so that
+  /// callbacks never run inside the handler's own call of write() or finish().
   void settleSoon(http_exchange &Exchange);
   void beforeWait();
 
@@ -111,7 +128,7 @@
   tcp_listener Listener;
   caller_pool Callers;
   std::set<http_exchange *> Live;
-  std::vector<std::weak_ptr<http_exchange>> Due;
+  std::vector<std::weak_ptr<http_exchange>> Due; ///< Exchanges to settle.
   before_wait Prepare;
 };
 
--- a/net/ip_address.cpp
+++ b/net/ip_address.cpp
@@ -1,4 +1,4 @@
-//===- ip_address.cpp - Addresses of sockets ------------------------------===//
+//===- ip_address.cpp - IPv4 socket addresses -----------------------------===//
 
 #include "net/ip_address.h"
 #include <arpa/inet.h>
@@ -28,20 +28,21 @@
 }
 
 int listenOn(const std::string &Address, int Backlog, std::string &Bound) {
-  sockaddr_in Where{};
-  if (!parseIpAddress(Address, Where))
+  sockaddr_in SocketAddress{};
+  if (!parseIpAddress(Address, SocketAddress))
     return -1;
   int Socket = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   int On = 1;
   setsockopt(Socket, SOL_SOCKET, SO_REUSEADDR, &On, sizeof(On));
-  auto *Raw = reinterpret_cast<sockaddr *>(&Where);
-  if (bind(Socket, Raw, sizeof(Where)) != 0 || listen(Socket, Backlog) != 0) {
+  auto *Raw = reinterpret_cast<sockaddr *>(&SocketAddress);
+  if (bind(Socket, Raw, sizeof(SocketAddress)) != 0 ||
+      listen(Socket, Backlog) != 0) {
     close(Socket);
     return -1;
   }
-  socklen_t Size = sizeof(Where);
+  socklen_t Size = sizeof(SocketAddress);
   getsockname(Socket, Raw, &Size);
-  Bound = formatIpAddress(Where);
+  Bound = formatIpAddress(SocketAddress);
   return Socket;
 }
 
--- a/net/ip_address.h
+++ b/net/ip_address.h
@@ -1,4 +1,4 @@
-//===- ip_address.h - Addresses of sockets ----------------------*- C++ -*-===//
+//===- ip_address.h - IPv4 socket addresses ---------------------*- C++ -*-===//
 
 #ifndef OLIVEVALVE_NET_IP_ADDRESS_H
 #define OLIVEVALVE_NET_IP_ADDRESS_H
@@ -8,14 +8,16 @@
 
 namespace olivevalve {
 
-/// Reads "IP:port"; false if it is something else.
+/// Parses "IP:port" with an IPv4 address. Returns false if there is no colon or
+/// the part before it is not an IPv4 address; the port is not checked.
 bool parseIpAddress(const std::string &Address, sockaddr_in &Out);
 
-/// "IP:port".
+/// Formats \p Address as "IP:port".
 std::string formatIpAddress(const sockaddr_in &Address);
 
-/// A listening, non-blocking socket, or -1. \p Bound gets the address with the
-/// port that the kernel chose for port 0.
+/// Opens a non-blocking TCP socket that listens on \p Address, or returns -1.
+/// With port 0 the kernel chooses the port. \p Bound receives the address with
+/// the actual port.
 int listenOn(const std::string &Address, int Backlog, std::string &Bound);
 
 } // namespace olivevalve
--- a/net/link.cpp
+++ b/net/link.cpp
@@ -1,4 +1,4 @@
-//===- link.cpp - Messages between our own processes ----------------------===//
+//===- link.cpp - Messaging between olivevalve processes ------------------===//
 
 #include "net/link.h"
 #include "base/log.h"
@@ -11,29 +11,34 @@
 
 namespace {
 
-// A node talks to one peer at most some hundred messages ahead; past that the
-// peer is stuck and the sender must hear so.
-constexpr int QueueMessages = 2000;
-// A silent hole is noticed by the transport after this; shorter than a lease.
+// Bounds the messages queued per peer in each direction. Normally at most some
+// hundred messages are queued; more means that the peer is stuck, and then
+// sends must fail.
+constexpr int MaxQueuedMessages = 2000;
+// Heartbeats detect a path that drops packets silently. The timeout is shorter
+// than a lease.
 constexpr int HeartbeatMs = 1000;
 constexpr int HeartbeatTimeoutMs = 3000;
+// Reconnect interval, and the limit up to which ZeroMQ increases it.
 constexpr int ReconnectMs = 50;
 constexpr int ReconnectMaxMs = 500;
-// An opening packet that was lost is sent again by the kernel after 1, 3, 7 and
-// 15 s: a new attempt comes sooner through as soon as the path is whole.
+// Abandons a connection attempt. If a SYN is lost, the kernel retransmits it
+// after 1, 3, 7 and 15 s; once the path works again, a new attempt succeeds
+// sooner than the next retransmission.
 constexpr int ConnectTimeoutMs = 600;
-// Bytes without acknowledgement for so long mean a dead path; the kernel alone
-// would wait ever longer between its own attempts, also after it is whole.
-constexpr int UnackedMs = 1500;
-// Larger than the largest request body plus its fields.
+// Closes a connection whose bytes stay unacknowledged for this long, since the
+// path is probably dead. The kernel's retransmission interval keeps growing, so
+// without this the connection would stay stuck after the path works again.
+constexpr int UnackedTimeoutMs = 1500;
+// Must exceed the largest request body plus the other fields of its message.
 constexpr int64_t MaxMessageBytes = 80 << 20;
-// Reads of one socket before the others get their turn.
+// Messages read from one socket before other events are handled.
 constexpr int ReadsPerTurn = 200;
 
 } // namespace
 
 std::string_view trafficKindName(size_t Kind) {
-  // By the field numbers of wire::envelope.
+  // Indexed by the field numbers of wire::envelope.
   constexpr std::array<std::string_view, 27> Names = {
       "",        "attempt",      "credit",        "cancel",
       "settle",  "accepted",     "refused",       "head",
@@ -47,7 +52,7 @@
 
 link_context::link_context(link_keys Keys)
     : Context(zmq_ctx_new()), Keys(std::move(Keys)) {
-  // The codec's complaints about bad input go to our log.
+  // Write protobuf's messages, such as those on malformed input, to our log.
   google::protobuf::SetLogHandler(
       [](google::protobuf::LogLevel, const char *, int,
          const std::string &Text) { logLine(log_level::Warning, Text); });
@@ -63,14 +68,14 @@
       ReadOne(std::move(ReadOne)), Watch(Loop, [this](int) { drain(); }),
       Later(Loop, [this] { drain(); }) {
   setOption(ZMQ_LINGER, 200);
-  setOption(ZMQ_SNDHWM, QueueMessages);
-  setOption(ZMQ_RCVHWM, QueueMessages);
+  setOption(ZMQ_SNDHWM, MaxQueuedMessages);
+  setOption(ZMQ_RCVHWM, MaxQueuedMessages);
   setOption(ZMQ_HEARTBEAT_IVL, HeartbeatMs);
   setOption(ZMQ_HEARTBEAT_TIMEOUT, HeartbeatTimeoutMs);
   setOption(ZMQ_RECONNECT_IVL, ReconnectMs);
   setOption(ZMQ_RECONNECT_IVL_MAX, ReconnectMaxMs);
   setOption(ZMQ_CONNECT_TIMEOUT, ConnectTimeoutMs);
-  setOption(ZMQ_TCP_MAXRT, UnackedMs);
+  setOption(ZMQ_TCP_MAXRT, UnackedTimeoutMs);
   zmq_setsockopt(Socket, ZMQ_MAXMSGSIZE, &MaxMessageBytes,
                  sizeof(MaxMessageBytes));
 }
@@ -98,8 +103,9 @@
   touched();
 }
 
-// The descriptor only tells of changes, so every edge and every send reads
-// until the socket has nothing more.
+// The descriptor only signals changes, so after every edge and every send the
+// socket must be read until it is empty. After ReadsPerTurn messages the rest
+// is left to the next loop iteration.
 void link_socket::drain() {
   for (int Reads = 0; Reads < ReadsPerTurn; ++Reads) {
     int Events = 0;
@@ -161,16 +167,17 @@
   Socket.setOption(ZMQ_CURVE_SECRETKEY, Keys.SecretKey);
 }
 
-void dropRest(detail::link_socket &Socket, std::string &Buffer, bool More) {
+void discardRemainingParts(detail::link_socket &Socket, std::string &Buffer,
+                           bool More) {
   while (More && Socket.receive(Buffer, More)) {
   }
 }
 
 bool parse(link_traffic &Traffic, const std::string &Buffer,
            wire::envelope &Message) {
-  bool Good = Message.ParseFromString(Buffer) &&
-              Message.body_case() != wire::envelope::BODY_NOT_SET;
-  if (!Good) {
+  bool Valid = Message.ParseFromString(Buffer) &&
+               Message.body_case() != wire::envelope::BODY_NOT_SET;
+  if (!Valid) {
     ++Traffic.Malformed;
     return false;
   }
@@ -197,8 +204,9 @@
     : Handler(std::move(Handler)),
       Socket(Context, Loop, ZMQ_ROUTER, [this] { readOne(); }) {
   Socket.setOption(ZMQ_ROUTER_MANDATORY, 1);
-  // A peer that comes back on a new connection takes its name over at once;
-  // else it would be shut out until the old connection is seen to be dead.
+  // A peer that reconnects takes over its name from its old connection.
+  // Otherwise it would be rejected until the old connection is detected as
+  // dead.
   Socket.setOption(ZMQ_ROUTER_HANDOVER, 1);
   setServerKeys(Socket);
 }
@@ -234,7 +242,7 @@
   std::string Body;
   if (!Socket.receive(Body, More))
     return;
-  dropRest(Socket, Buffer, More);
+  discardRemainingParts(Socket, Buffer, More);
   wire::envelope Message;
   if (parse(Socket.context().traffic(), Body, Message))
     Handler(Peer, Message);
@@ -244,7 +252,8 @@
                          const std::string &Name, handler Handler)
     : Handler(std::move(Handler)),
       Socket(Context, Loop, ZMQ_DEALER, [this] { readOne(); }), Loop(Loop) {
-  // Without a connection a send fails at once, so that "not run" is known.
+  // Makes a send without a connection fail at once instead of queueing, so that
+  // the sender knows that the request has not run.
   Socket.setOption(ZMQ_IMMEDIATE, 1);
   Socket.setOption(ZMQ_ROUTING_ID, Name);
   setClientKeys(Socket);
@@ -265,7 +274,7 @@
   bool More = false;
   if (!Monitor->receive(Event, More))
     return;
-  dropRest(*Monitor, Buffer, More);
+  discardRemainingParts(*Monitor, Buffer, More);
   OnDisconnect();
 }
 
@@ -279,7 +288,7 @@
   bool More = false;
   if (!Socket.receive(Body, More))
     return;
-  dropRest(Socket, Buffer, More);
+  discardRemainingParts(Socket, Buffer, More);
   wire::envelope Message;
   if (parse(Socket.context().traffic(), Body, Message))
     Handler(Message);
--- a/net/link.h
+++ b/net/link.h
@@ -1,9 +1,9 @@
-//===- link.h - Messages between our own processes --------------*- C++ -*-===//
+//===- link.h - Messaging between olivevalve processes ----------*- C++ -*-===//
 //
 // ZeroMQ sockets on the event loop that carry protobuf envelopes. A
-// server_link accepts many peers and answers them by name; a client_link
-// talks to one address. Queues are bounded; a message that finds no room or no
-// connection is refused at once and never sent later.
+// server_link accepts many peers and addresses them by name; a client_link
+// connects to one server_link. Queues are bounded: a send fails at once if the
+// queue is full or there is no connection, and the message is never sent later.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,15 +21,15 @@
 
 namespace olivevalve {
 
-/// The key pair that all processes of one system hold, for ZeroMQ's CURVE;
-/// empty: plain connections.
+/// The ZeroMQ CURVE key pair shared by all processes of one deployment. Without
+/// a secret key, connections are unencrypted and unauthenticated.
 struct link_keys {
   std::string PublicKey; ///< Z85, 40 characters.
   std::string SecretKey; ///< Z85, 40 characters.
   bool enabled() const { return !SecretKey.empty(); }
 };
 
-/// Messages and payload bytes of one kind.
+/// Message and payload byte counts of one message kind.
 struct kind_traffic {
   uint64_t SentMessages = 0;
   uint64_t SentBytes = 0;
@@ -37,17 +37,20 @@
   uint64_t ReceivedBytes = 0;
 };
 
-/// What passed over all links of a process, by the envelope's field number.
+/// Traffic of all links of a process.
 struct link_traffic {
+  /// Must exceed the largest field number of wire::envelope.
   static constexpr size_t Kinds = 32;
+  /// Indexed by the field number of the message in wire::envelope.
   std::array<kind_traffic, Kinds> ByKind;
-  uint64_t Malformed = 0;
+  uint64_t Malformed = 0; ///< Received messages that could not be parsed.
 };
 
-/// The name of a kind for metrics, or "" if there is none.
+/// The metric label of the message kind with field number \p Kind, or "" if
+/// there is none.
 std::string_view trafficKindName(size_t Kind);
 
-/// Owns the ZeroMQ context; outlives its links. One per process.
+/// Owns the ZeroMQ context of a process. Must outlive all its links.
 class link_context {
 public:
   explicit link_context(link_keys Keys = {});
@@ -68,24 +71,31 @@
 
 namespace detail {
 
-/// What both links share: the socket, its edge-triggered descriptor and the
-/// reading of it until nothing is left.
+/// A ZeroMQ socket on the event loop, common to both kinds of links. Its
+/// descriptor is edge-triggered, so each event reads the socket until empty.
 class link_socket {
 public:
+  /// \p Type is a ZeroMQ socket type. \p ReadOne must receive one message.
   link_socket(link_context &Context, struct ev_loop *Loop, int Type,
               std::function<void()> ReadOne);
   ~link_socket();
-  /// Reads the events of another socket.
+  /// Subscribes to the monitor events \p Events of the ZeroMQ socket \p Other.
+  /// Returns false on failure.
   bool monitor(void *Other, int Events);
   link_socket(const link_socket &) = delete;
   link_socket &operator=(const link_socket &) = delete;
 
   void *get() const { return Socket; }
+  /// Starts watching the descriptor. The socket must be bound or connected.
   void watch();
-  /// Must be called after each send: a send may swallow the edge.
+  /// Schedules a read. Must be called for each send, since a send can consume
+  /// the descriptor's edge for incoming messages.
   void touched() { Watch.feed(); }
-  /// Receives one part; false when there is none.
+  /// Receives one message part; \p More tells whether further parts follow.
+  /// Returns false if none is available.
   bool receive(std::string &Part, bool &More);
+  /// Sends one message part without blocking; \p More announces further parts.
+  /// Returns false if ZeroMQ does not accept it.
   bool send(std::string_view Part, bool More);
   void setOption(int Option, int Value);
   void setOption(int Option, std::string_view Value);
@@ -98,23 +108,24 @@
   void *Socket;
   std::function<void()> ReadOne;
   descriptor_watch Watch;
-  timer Later; ///< Goes on reading after others had their turn.
+  timer Later; ///< Continues reading after other events were handled.
 };
 
 } // namespace detail
 
-/// Accepts peers; each is known by the name it chose.
+/// Accepts any number of peers, each identified by the name it chose.
 class server_link {
 public:
   using handler = std::function<void(const std::string &Peer,
                                      const wire::envelope &Message)>;
   server_link(link_context &Context, struct ev_loop *Loop, handler Handler);
 
-  /// Binds to "host:port"; port 0 lets the kernel choose.
+  /// Binds to "host:port"; with port 0 the kernel chooses the port. Returns
+  /// false on failure.
   bool bind(const std::string &Address);
-  /// The address bound, with the port that was chosen.
+  /// The bound address with the actual port.
   std::string address() const;
-  /// False if the peer is gone or its queue is full.
+  /// Returns false if the peer is not connected or its queue is full.
   bool send(const std::string &Peer, const wire::envelope &Message);
 
 private:
@@ -125,18 +136,20 @@
   std::string Buffer;
 };
 
-/// Talks to one server_link.
+/// Connects to one server_link and reconnects automatically.
 class client_link {
 public:
   using handler = std::function<void(const wire::envelope &Message)>;
+  /// The server addresses this client by \p Name.
   client_link(link_context &Context, struct ev_loop *Loop,
               const std::string &Name, handler Handler);
 
+  /// Starts to connect to "host:port". OnDisconnect must be set before.
   void connect(const std::string &Address);
-  /// False if there is no connection or its queue is full.
+  /// Returns false if there is no connection or its queue is full.
   bool send(const wire::envelope &Message);
 
-  /// The connection broke: what was under way may be lost.
+  /// Called when the connection breaks; messages in transit may be lost.
   std::function<void()> OnDisconnect;
 
 private:
--- a/net/tcp_stream.cpp
+++ b/net/tcp_stream.cpp
@@ -13,32 +13,34 @@
 
 namespace {
 
-// One read takes what the kernel's buffers of a connection usually hold.
+// Size of one read: what the kernel usually buffers for a connection.
 constexpr size_t ReadBytes = 64 << 10;
-// Unacknowledged bytes to an upstream for so long mean a dead path: well over
-// the longest round trip, under the time a caller would wait.
-constexpr unsigned UnackedMs = 5000;
+// The kernel closes a connection to an upstream whose bytes stay unacknowledged
+// for this long, since the path is probably dead. Well above the longest round
+// trip time, and below the time a caller would wait.
+constexpr unsigned UnackedTimeoutMs = 5000;
 constexpr int Backlog = 1024;
-// Of one turn, so that open connections have theirs too.
+// Connections accepted in one loop iteration, so that a burst does not delay
+// the open connections.
 constexpr int AcceptsPerTurn = 64;
 
-void sendAtOnce(int Socket) {
+void disableNagle(int Socket) {
   int On = 1;
   setsockopt(Socket, IPPROTO_TCP, TCP_NODELAY, &On, sizeof(On));
 }
 
 int connectTo(const std::string &Address) {
-  sockaddr_in Where{};
-  if (!parseIpAddress(Address, Where))
+  sockaddr_in SocketAddress{};
+  if (!parseIpAddress(Address, SocketAddress))
     return -1;
   int Socket = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (Socket < 0)
     return -1;
-  sendAtOnce(Socket);
-  setsockopt(Socket, IPPROTO_TCP, TCP_USER_TIMEOUT, &UnackedMs,
-             sizeof(UnackedMs));
-  if (connect(Socket, reinterpret_cast<sockaddr *>(&Where), sizeof(Where)) ==
-          0 ||
+  disableNagle(Socket);
+  setsockopt(Socket, IPPROTO_TCP, TCP_USER_TIMEOUT, &UnackedTimeoutMs,
+             sizeof(UnackedTimeoutMs));
+  if (connect(Socket, reinterpret_cast<sockaddr *>(&SocketAddress),
+              sizeof(SocketAddress)) == 0 ||
       errno == EINPROGRESS)
     return Socket;
   close(Socket);
@@ -51,7 +53,7 @@
     : Socket(Socket), Connected(true),
       Watch(Loop, [this](int Events) { onReady(Events); }),
       Failure(Loop, [this] { fail(); }) {
-  sendAtOnce(Socket);
+  disableNagle(Socket);
   watch();
 }
 
@@ -146,7 +148,8 @@
     if (Count < 0 && errno == EAGAIN)
       return watch();
     if (Count < 0) {
-      // The caller of write() is in the middle of its own work.
+      // write() may be on the stack, and its caller must not get OnEnd inside
+      // that call: report the error from the loop.
       Unsent.clear();
       Sent = 0;
       Watch.stop();
--- a/net/tcp_stream.h
+++ b/net/tcp_stream.h
@@ -1,7 +1,8 @@
 //===- tcp_stream.h - One TCP connection on the event loop ------*- C++ -*-===//
 //
-// Reads as bytes come, writes at once what the kernel takes and keeps the
-// rest. The owner must not destroy a stream inside its callbacks.
+// Delivers bytes as they arrive. Writes what the kernel accepts at once and
+// buffers the remainder. The owner must not destroy a stream inside one of its
+// callbacks.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,35 +16,47 @@
 
 namespace olivevalve {
 
+/// A non-blocking TCP connection.
 class tcp_stream {
 public:
   /// Takes over the connected \p Socket.
   tcp_stream(struct ev_loop *Loop, int Socket);
-  /// Begins to connect to "IP:port"; what is written meanwhile goes out after.
+  /// Starts to connect to "IP:port". Bytes written before the connection is
+  /// established are buffered. A failure is reported through OnEnd.
   tcp_stream(struct ev_loop *Loop, const std::string &Address);
   ~tcp_stream() { close(); }
   tcp_stream(const tcp_stream &) = delete;
   tcp_stream &operator=(const tcp_stream &) = delete;
 
   std::function<void()> OnConnected;
+  /// Called with received bytes. Must be set; the bytes are only valid during
+  /// the call.
   std::function<void(std::string_view)> OnBytes;
-  /// The other side has ended; \p Reset: by a reset or an error.
+  /// Called when the connection ends. \p Reset is false if the peer closed it
+  /// properly, true after a reset or any other error.
   std::function<void(bool Reset)> OnEnd;
-  std::function<void()> OnDrained; ///< Everything written has left.
+  /// Called when the kernel has accepted all bytes written.
+  std::function<void()> OnDrained;
 
+  /// Sends or buffers \p Bytes. Ignored once the stream is closing or closed.
   void write(std::string_view Bytes);
-  /// Closes after what was written has left.
+  /// Closes the stream once the kernel has accepted all bytes written.
   void closeWhenSent();
+  /// Closes the stream at once and discards unsent bytes.
   void close();
   bool open() const { return Socket >= 0; }
   bool connected() const { return Connected; }
-  /// The other side has closed it, whether or not OnEnd was told yet.
+  /// True if the peer has closed or reset the connection and all received bytes
+  /// have been read, even if OnEnd has not been called yet.
   bool closedByPeer() const;
-  /// Nothing listens at the address: no process has it.
+  /// True if the peer's host refused the connection, that is no process listens
+  /// at the address.
   bool refused() const { return Refused; }
+  /// Bytes written that the kernel has not accepted yet.
   size_t unsent() const { return Unsent.size() - Sent; }
-  /// Bytes handed to the kernel.
+  /// Total bytes accepted by the kernel.
   uint64_t sentBytes() const { return SentBytes; }
+  /// Pauses or resumes reading.
   void setReading(bool On);
 
 private:
@@ -58,21 +71,25 @@
   bool Refused = false;
   bool Reading = true;
   bool Closing = false;
-  int Watched = 0;
+  int Watched = 0; ///< EV_READ / EV_WRITE bits that Watch waits for.
   std::string Unsent;
-  size_t Sent = 0;
+  size_t Sent = 0; ///< Bytes at the start of Unsent that have been sent.
   uint64_t SentBytes = 0;
   descriptor_watch Watch;
-  timer Failure; ///< Tells of an error that came up inside a call.
+  /// Reports an error found inside a call of the owner through OnEnd later.
+  timer Failure;
 };
 
-/// A listening socket.
+/// A listening TCP socket.
 class tcp_listener {
 public:
+  /// \p OnAccept takes over each accepted, non-blocking socket.
   tcp_listener(struct ev_loop *Loop, std::function<void(int Socket)> OnAccept);
   ~tcp_listener() { close(); }
-  /// Binds to "IP:port"; port 0 lets the kernel choose.
+  /// Binds to "IP:port"; with port 0 the kernel chooses the port. Returns false
+  /// if \p Address is invalid or cannot be bound.
   bool bind(const std::string &Address);
+  /// The bound address with the actual port.
   const std::string &address() const { return Bound; }
   void close();
 
--- a/wire/attempt_key.h
+++ b/wire/attempt_key.h
@@ -9,11 +9,11 @@
 
 namespace olivevalve {
 
-/// One try of one request: the entry's start, its request counter, the try.
+/// Identifies one attempt at one request; wire::attempt_id as a map key.
 struct attempt_key {
-  uint64_t Entry = 0;
-  uint64_t Request = 0;
-  uint32_t Number = 0;
+  uint64_t Entry = 0;   ///< Incarnation of the entry.
+  uint64_t Request = 0; ///< The entry's number for the request.
+  uint32_t Number = 0;  ///< Number of the attempt within the request.
   auto operator<=>(const attempt_key &) const = default;
 };
 
