--- a/bench/bench.h
+++ b/bench/bench.h
@@ -1,8 +1,9 @@
-//===- bench.h - Measuring the decisions ------------------------*- C++ -*-===//
+//===- bench.h - Benchmarks of the decision code ----------------*- C++ -*-===//
 //
-// Runs the decision code, as the daemons use it, on seeded workloads shaped
-// like the users' own, beside baselines and a bound from perfect knowledge.
-// Arrivals, ratings and load news are scripted; no cluster is simulated.
+// Runs the decision code that the daemons use on seeded workloads modelled on
+// those of the two deployments, sahel and laurentien, and compares it with
+// baselines and with a bound from perfect information. Arrivals, ratings and
+// load reports are generated; no processes and no network are involved.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,7 +18,8 @@
 
 namespace olivevalve {
 
-/// Gathers every decision into one number.
+/// Hashes a sequence of decisions into one number, which changes if any
+/// decision does.
 class decision_signature {
 public:
   void add(std::string_view Decision) { Value = checksum(Decision, Value); }
@@ -27,12 +29,13 @@
   uint64_t Value = 0;
 };
 
-/// Mean and spread of one figure over seeds.
+/// Mean and standard deviation of one figure over seeds.
 class seed_spread {
 public:
   void add(double Value);
+  /// 0 if no value was added.
   double mean() const { return Count > 0 ? Sum / Count : 0; }
-  /// Standard deviation between seeds.
+  /// Sample standard deviation; 0 for fewer than two values.
   double deviation() const;
 
 private:
@@ -41,89 +44,103 @@
   double Squares = 0;
 };
 
-/// What an upstream that has just started gets from all gateways.
+/// Requests that all gateways together send to a cold upstream.
 struct warming_row {
   std::string Scenario;
   std::string Policy;
-  double MostInASecond = 0;
-  double Bound = 0; ///< That many within any second at most.
-  double SentPerSecond = 0;
+  double MostInASecond = 0; ///< Most requests within any one second.
+  double Bound = 0;         ///< Highest number allowed within any one second.
+  double SentPerSecond = 0; ///< Mean over the run.
 };
 std::vector<warming_row> benchWarming();
 
-/// Cost at the quality target.
+/// Cost and quality of a policy that chooses versions. A cell is one template
+/// for one client account; each cell has a quality target.
 struct choice_row {
   std::string Workload;
   std::string Policy;
-  double CostPerThousand = 0;
-  double Quality = 0;
-  double WorstShortfall = 0; ///< Over cells: target minus mean quality.
-  double CellsMet = 0;       ///< Share of cells within 0.005 of the target.
+  double CostPerThousand = 0; ///< Cost of 1,000 requests.
+  double Quality = 0;         ///< Mean over all requests, 0 to 1.
+  /// Largest difference over cells of target and mean quality; 0 if all met.
+  double WorstShortfall = 0;
+  /// Share of cells whose mean quality is at most 0.005 below the target.
+  double CellsMet = 0;
 };
 std::vector<choice_row> benchChoice(decision_signature &Signature);
-/// The same over seeds.
+/// The figures of choice_row over seeds.
 struct choice_spread_row {
   std::string Workload;
   std::string Policy;
   seed_spread Cost;
-  seed_spread OverBound; ///< Cost divided by that of perfect knowledge.
+  seed_spread OverBound; ///< Cost divided by that of the bound.
   seed_spread WorstShortfall;
   seed_spread CellsMet;
 };
 std::vector<choice_spread_row> benchChoiceSpread();
 
-/// Exposure to bad versions.
+/// How a policy limits the exposure to a bad version during its roll-out.
 struct rollout_row {
   std::string Scenario;
   std::string Policy;
-  double MedianExposed = 0; ///< Answers by the version once it was bad.
-  double WorstExposed = 0;
-  double StoppedShare = 0;  ///< Of runs, whole.
-  double InPartShare = 0;   ///< Of runs, for the bad part and no other.
-  double MedianSettled = 0; ///< Requests of all until it took all traffic.
-  /// Bad answers given so far, mean over runs, every CurveStep requests.
+  double MedianExposed = 0; ///< Bad answers in a run.
+  double WorstExposed = 0;  ///< Bad answers in the worst run.
+  /// Share of runs in which the version was stopped for all requests.
+  double StoppedShare = 0;
+  /// Share of runs in which the version was stopped for exactly the template or
+  /// client account for which it is bad.
+  double InPartShare = 0;
+  /// Requests of the run until the new version got all traffic; -1 if it never
+  /// did.
+  double MedianSettled = 0;
+  /// Cumulative bad answers, mean over runs, one value each CurveStep requests.
   std::vector<double> Curve;
 };
+/// Requests between two points of rollout_row::Curve.
 constexpr int CurveStep = 250;
 std::vector<rollout_row> benchRollout(decision_signature &Signature);
-/// Roll-outs of good versions that were stopped, of so many.
+/// How many roll-outs of good versions were stopped by mistake.
 struct false_stop_row {
   int Rollouts = 0;
-  int Stopped = 0;       ///< Whole.
+  int Stopped = 0;       ///< For all requests.
   int StoppedInPart = 0; ///< For a template or client account.
 };
 false_stop_row benchFalseStops();
 
-/// Waiting of requests under stale news.
+/// Queueing times when entries choose replicas from outdated load reports.
 struct replica_row {
   std::string Scenario;
   std::string Policy;
   double MeanWaitMs = 0;
   double P95WaitMs = 0;
   double P99WaitMs = 0;
-  double PrefixHits = 0; ///< Share of requests that found their prefix warm.
-  double NewsShare = 0;  ///< Share of looks at the load that were told.
+  /// Share of requests whose prefix was in the replica's KV cache.
+  double PrefixHits = 0;
+  /// Share of load samples that a sidecar reported to the entries.
+  double NewsShare = 0;
 };
 std::vector<replica_row> benchReplicas(decision_signature &Signature);
 
-/// Waits for a slot in milliseconds, over seeds.
+/// Quantiles over seeds of the time in milliseconds until a request gets a
+/// slot.
 struct wait_quantiles {
   seed_spread P50;
   seed_spread P95;
   seed_spread P99;
-  seed_spread NotRun; ///< Share that waited for too long.
+  seed_spread ShedShare; ///< Share of requests that were shed.
 };
 
-/// Two classes of requests at one pool: priority 0, and the others.
+/// Queueing times of two classes of requests at one pool: priority 0, and all
+/// others.
 struct wait_row {
-  double Load = 0; ///< Of capacity.
+  double Load = 0; ///< Share of the pool's capacity.
   std::string Policy;
   wait_quantiles Urgent;
   wait_quantiles Others;
 };
 std::vector<wait_row> benchWaits();
 
-/// What one decision costs, with 13 versions and 86 replicas.
+/// Processing time of one decision, with 13 versions and 86 replicas, and its
+/// number of heap allocations.
 struct speed_row {
   std::string Decision;
   double Nanoseconds = 0;
@@ -131,23 +148,29 @@
 };
 std::vector<speed_row> benchSpeed();
 
-/// Demand that finds no copy of its version with a slot left.
+/// Demand for which no replica with the version loaded has a free slot.
 struct placement_row {
   std::string Scenario;
   std::string Policy;
   double Unserved = 0;  ///< Share of demand.
-  double Loads = 0;     ///< In an hour.
-  double MostLoads = 0; ///< At once.
+  double Loads = 0;     ///< Versions loaded within an hour.
+  double MostLoads = 0; ///< Highest number of concurrent loads.
 };
 std::vector<placement_row> benchPlacement(decision_signature &Signature);
 
-/// Estimates on their way to one node that asks each second.
+/// Traffic and error of the estimates at one node that polls control for
+/// updates each second.
 struct news_row {
   std::string Scenario;
-  double BytesPerSecond = 0;  ///< Steady, of cells that moved.
-  double WholeTableBytes = 0; ///< What each second cost as a whole table.
-  double Behind = 0;          ///< Ratings the node has not heard of at the end.
-  double WorstOff = 0;        ///< Standard errors between node and control.
+  /// Mean size of an update, which holds only cells that have changed.
+  double BytesPerSecond = 0;
+  /// Size of an update that would hold the whole table, for comparison.
+  double WholeTableBytes = 0;
+  /// Ratings at the end of the run that the node has not received.
+  double Behind = 0;
+  /// Largest difference between the estimates of node and control, in standard
+  /// errors.
+  double WorstOff = 0;
 };
 std::vector<news_row> benchNews();
 
--- a/bench/choice.cpp
+++ b/bench/choice.cpp
@@ -1,4 +1,4 @@
-//===- choice.cpp - Cost at the quality target ----------------------------===//
+//===- choice.cpp - Cost of version choices at the quality target ---------===//
 
 #include "bench/bench.h"
 #include "policy/version_choice.h"
@@ -14,8 +14,8 @@
 namespace {
 
 constexpr int Requests = 30000;
-constexpr double RatingNoise = 0.1;
-constexpr double RatingsLost = 0.2;
+constexpr double RatingNoise = 0.1;    ///< Standard deviation.
+constexpr double RatingsLost = 0.2;    ///< Share that never arrives.
 constexpr double MeanRatingDelay = 60; ///< In requests.
 
 struct bench_version {
@@ -27,21 +27,26 @@
 struct bench_cell {
   std::string Template;
   std::string Account;
-  double Weight; ///< Of requests.
+  double Weight; ///< Relative number of requests.
   double Target;
   std::array<double, 3> Quality; ///< Mean, by version.
-  double Hardness;               ///< How much hard requests cost a version.
+  /// Difference in quality of the cheapest version between the easiest and the
+  /// hardest requests.
+  double Hardness;
 };
 
 struct bench_workload {
   std::string Name;
   std::array<bench_version, 3> Versions;
   std::vector<bench_cell> Cells;
-  double DriftAt = 2; ///< Share of the run after which the cheap one worsens.
+  /// Share of the run after which the quality of the cheapest version drops;
+  /// above 1: never.
+  double DriftAt = 2;
 };
 
-// Sahel: few large accounts, plans are hard, notes are easy. Laurentien:
-// explanations are hard, tags easy, summaries between.
+// Sahel has a few large accounts; route plans are hard and delivery notes easy.
+// In Laurentien explanations are hard, tagging is easy, and summaries lie in
+// between.
 std::vector<bench_workload> workloads() {
   std::array<bench_version, 3> Sahel = {{{{"olive-mini", "1"}, 1},
                                          {{"olive-llm", "1"}, 4},
@@ -65,13 +70,15 @@
         {"tagging", "code-route", 6, 0.85, {0.88, 0.92, 0.94}, 0.1}}},
   };
   bench_workload Drift = All[0];
-  Drift.Name = "sahel, cheap one worsens";
+  Drift.Name = "sahel, cheapest degrades";
   Drift.DriftAt = 0.5;
   All.push_back(Drift);
   return All;
 }
 
-/// One request with what each version would answer; only the run sees it.
+/// One request with the quality and rating that the answer of each version
+/// would have. Only the run sees them all; a policy gets the ratings of its
+/// choices.
 struct bench_request {
   const bench_cell *Cell;
   std::array<double, 3> Quality;
@@ -93,7 +100,7 @@
     double Hard = Unit(Random) - 0.5;
     bool Drifted = I > Workload.DriftAt * Requests;
     for (size_t V = 0; V < 3; ++V) {
-      // Better versions suffer less from hard requests.
+      // Better versions lose less quality on hard requests.
       double Slope = Request.Cell->Hardness * (1 - 0.3 * double(V));
       double Mean = Request.Cell->Quality[V] - (Drifted && V == 0 ? 0.12 : 0);
       double Quality = Mean - Slope * Hard + 0.05 * Noise(Random);
@@ -106,7 +113,7 @@
   return List;
 }
 
-/// What one policy has done over a run.
+/// Sums up the cost and quality of one policy over a run.
 class choice_run {
 public:
   choice_run(const bench_workload &Workload, std::string Policy)
@@ -146,71 +153,73 @@
   double All = 0;
 };
 
-size_t placeOf(const bench_workload &Workload, const version_name &Name) {
+size_t indexOf(const bench_workload &Workload, const version_name &Name) {
   for (size_t V = 0; V < 3; ++V)
     if (Workload.Versions[V].Name == Name)
       return V;
   return 0;
 }
 
-/// A rating on its way back.
-struct late_rating {
+/// A rating that arrives before request number At.
+struct delayed_rating {
   int At;
   estimate_key Key;
   double Score;
   double Cost;
-  bool operator>(const late_rating &Other) const { return At > Other.At; }
+  bool operator>(const delayed_rating &Other) const { return At > Other.At; }
 };
 
-// The decision code of the daemons, fed with late, lost and noisy ratings.
-choice_row runOurs(const bench_workload &Workload,
-                   const std::vector<bench_request> &List, bool MayCascade,
-                   bool RatingsStop, uint64_t Seed,
-                   decision_signature &Signature) {
+// Runs the decision code of the daemons with ratings that are delayed, lost and
+// noisy. With \p RatingsStop, no rating is given in the second half of the run.
+choice_row runOlivevalve(const bench_workload &Workload,
+                         const std::vector<bench_request> &List,
+                         bool MayCascade, bool RatingsStop, uint64_t Seed,
+                         decision_signature &Signature) {
   std::string Name = MayCascade ? "olivevalve" : "olivevalve, no cascade";
   choice_run Run(Workload, RatingsStop ? Name + ", ratings stop" : Name);
   std::mt19937_64 Random(Seed);
   std::uniform_real_distribution<double> Unit(0, 1);
   std::exponential_distribution<double> Delay(1 / MeanRatingDelay);
-  std::priority_queue<late_rating, std::vector<late_rating>, std::greater<>>
-      Late;
+  std::priority_queue<delayed_rating, std::vector<delayed_rating>,
+                      std::greater<>>
+      Delayed;
   estimates Estimates;
-  choice_cache Prepared;
+  choice_cache Cache;
   for (int I = 0; I < Requests; ++I) {
-    while (!Late.empty() && Late.top().At <= I) {
-      Estimates.add(Late.top().Key, Late.top().Score, Late.top().Cost);
-      Late.pop();
+    while (!Delayed.empty() && Delayed.top().At <= I) {
+      Estimates.add(Delayed.top().Key, Delayed.top().Score, Delayed.top().Cost);
+      Delayed.pop();
     }
     const bench_request &Request = List[size_t(I)];
     const bench_cell &Cell = *Request.Cell;
-    choice_input Question{.Template = Cell.Template,
-                          .Account = Cell.Account,
-                          .QualityTarget = Cell.Target,
-                          .Policy = cheapest_policy{}};
-    Question.MayCascade = MayCascade;
+    choice_input Input{.Template = Cell.Template,
+                       .Account = Cell.Account,
+                       .QualityTarget = Cell.Target,
+                       .Policy = cheapest_policy{}};
+    Input.MayCascade = MayCascade;
     for (const bench_version &Version : Workload.Versions)
-      Question.Candidates.push_back(
+      Input.Candidates.push_back(
           {.Name = Version.Name, .PriorCost = Version.Cost});
-    chosen_arm Choice = *chooseArm(Question, Estimates, Prepared, Random);
+    chosen_arm Choice = *chooseArm(Input, Estimates, Cache, Random);
     Signature.add(Choice.Arm.text());
-    auto Rate = [&](const arm &Arm, double Score, double Cost, bool AtOnce) {
+    auto Rate = [&](const arm &Arm, double Score, double Cost, bool Immediate) {
       if (RatingsStop && I > Requests / 2)
         return;
-      if (!AtOnce && Unit(Random) < RatingsLost)
+      if (!Immediate && Unit(Random) < RatingsLost)
         return;
-      int At = AtOnce ? I : I + 1 + int(Delay(Random));
-      Late.push({At, {Cell.Template, Cell.Account, Arm}, Score, Cost});
+      int At = Immediate ? I : I + 1 + int(Delay(Random));
+      Delayed.push({At, {Cell.Template, Cell.Account, Arm}, Score, Cost});
     };
-    size_t First = placeOf(Workload, Choice.Arm.First);
+    size_t First = indexOf(Workload, Choice.Arm.First);
     double Cost = Workload.Versions[First].Cost;
     if (!Choice.Arm.isCascade()) {
       Rate(Choice.Arm, Request.Rating[First], Cost, false);
       Run.answered(Request, Request.Quality[First], Cost);
       continue;
     }
-    size_t Second = placeOf(Workload, Choice.Arm.Second);
+    size_t Second = indexOf(Workload, Choice.Arm.Second);
     Rate({Choice.Arm.First, {}}, Request.Rating[First], Cost, true);
-    bool Escalates = Request.Rating[First] < escalationThreshold(Question);
+    bool Escalates = Request.Rating[First] < escalationThreshold(Input);
     size_t Last = Escalates ? Second : First;
     if (Escalates) {
       Rate({Choice.Arm.Second, {}}, Request.Rating[Second],
@@ -223,7 +232,7 @@
   return Run.row();
 }
 
-/// A baseline picks a version from the request's number alone, or cascades.
+/// Runs a baseline that picks a version from the request's number alone.
 choice_row runFixed(const bench_workload &Workload,
                     const std::vector<bench_request> &List,
                     const std::string &Name,
@@ -237,6 +246,8 @@
   return Run.row();
 }
 
+/// Runs a baseline that sends each request to the cheapest version, and to the
+/// best one too if the rating of the first answer is below \p Threshold.
 choice_row runCascade(const bench_workload &Workload,
                       const std::vector<bench_request> &List,
                       double Threshold) {
@@ -250,16 +261,17 @@
   return Run.row();
 }
 
-// Knows every answer's quality beforehand: for each cell the price of quality
-// at which the mean just meets the target.
+// Computes the bound: all qualities are known in advance. For each cell, a
+// bisection finds the price of quality at which choosing the version with the
+// highest quality times price minus cost just meets the target on average.
 choice_row runBound(const bench_workload &Workload,
                     const std::vector<bench_request> &List) {
   choice_run Run(Workload, "perfect knowledge");
   for (const bench_cell &Cell : Workload.Cells) {
-    std::vector<const bench_request *> Own;
+    std::vector<const bench_request *> CellRequests;
     for (const bench_request &Request : List)
       if (Request.Cell == &Cell)
-        Own.push_back(&Request);
+        CellRequests.push_back(&Request);
     auto Pick = [&](const bench_request &Request, double Price) {
       size_t Best = 0;
       for (size_t V = 1; V < 3; ++V) {
@@ -274,11 +286,11 @@
     for (int Step = 0; Step < 40; ++Step) {
       double Price = (Low + High) / 2;
       double Sum = 0;
-      for (const bench_request *Request : Own)
+      for (const bench_request *Request : CellRequests)
         Sum += Request->Quality[Pick(*Request, Price)];
-      (Sum / double(Own.size()) < Cell.Target ? Low : High) = Price;
+      (Sum / double(CellRequests.size()) < Cell.Target ? Low : High) = Price;
     }
-    for (const bench_request *Request : Own) {
+    for (const bench_request *Request : CellRequests) {
       size_t V = Pick(*Request, High);
       Run.answered(*Request, Request->Quality[V], Workload.Versions[V].Cost);
     }
@@ -299,15 +311,15 @@
     Rows.push_back(runFixed(Workload, List, "fixed split",
                             [](int I) { return I % 2 ? 2 : 0; }));
     Rows.push_back(runCascade(Workload, List, 0.8));
-    Rows.push_back(runOurs(Workload, List, false, false, 7, Signature));
-    Rows.push_back(runOurs(Workload, List, true, false, 7, Signature));
-    Rows.push_back(runOurs(Workload, List, true, true, 7, Signature));
+    Rows.push_back(runOlivevalve(Workload, List, false, false, 7, Signature));
+    Rows.push_back(runOlivevalve(Workload, List, true, false, 7, Signature));
+    Rows.push_back(runOlivevalve(Workload, List, true, true, 7, Signature));
     Rows.push_back(runBound(Workload, List));
-    // One seed did not show a change of the first choices: three more are in
-    // the signature.
+    // The signature covers three more seeds: with one seed, a change of the
+    // first choices went undetected.
     for (uint64_t Seed : {21, 22, 23})
-      runOurs(Workload, makeRequests(Workload, Seed), true, false, Seed,
-              Signature);
+      runOlivevalve(Workload, makeRequests(Workload, Seed), true, false, Seed,
+                    Signature);
   }
   return Rows;
 }
@@ -346,7 +358,7 @@
       };
       Add(runFixed(Workload, List, "best always", [](int) { return 2; }));
       Add(runCascade(Workload, List, 0.8));
-      Add(runOurs(Workload, List, true, false, Seed, None));
+      Add(runOlivevalve(Workload, List, true, false, Seed, None));
       Add(Bound);
     }
     for (auto &[Policy, Row] : ByPolicy)
--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -1,10 +1,11 @@
-//===- main.cpp - bench: measuring the decisions --------------------------===//
+//===- main.cpp - bench: benchmarks of the decision code ------------------===//
 //
 // usage: bench [spread | -o json | -o svg]
 //
-// Without "spread": one table for each kind of decision, and the signature of
-// all. With it: over 20 seeds, false stops, waits of two classes, cost of a
-// decision.
+// Without arguments: prints one table for each kind of decision, and last the
+// signature of all decisions, which changes if any decision does. "spread"
+// prints the version choice over 20 seeds, false stops of roll-outs, queueing
+// times of two classes of requests, and the processing time of a decision.
 //
 //===----------------------------------------------------------------------===//
 
@@ -95,18 +96,18 @@
   return Rows;
 }
 
-void printWarming(const std::vector<warming_row> &Warming) {
+void printWarmup(const std::vector<warming_row> &Warmup) {
   std::printf("\n%-32s %-20s %14s %9s %9s\n", "COLD UPSTREAM", "POLICY",
               "MOST IN 1 s", "BOUND", "SENT/s");
-  for (const warming_row &Row : Warming)
+  for (const warming_row &Row : Warmup)
     std::printf("%-32s %-20s %14.0f %9.0f %9.1f\n", Row.Scenario.c_str(),
                 Row.Policy.c_str(), Row.MostInASecond, Row.Bound,
                 Row.SentPerSecond);
 }
 
-json toJson(const std::vector<warming_row> &Warming) {
+json toJson(const std::vector<warming_row> &Warmup) {
   json Rows = json::array();
-  for (const warming_row &Row : Warming)
+  for (const warming_row &Row : Warmup)
     Rows.push_back({{"scenario", Row.Scenario},
                     {"policy", Row.Policy},
                     {"most_in_a_second", Row.MostInASecond},
@@ -115,10 +116,10 @@
   return Rows;
 }
 
-void printNews(const std::vector<news_row> &News) {
-  std::printf("\n%-32s %12s %12s %9s %9s\n", "NEWS OF ESTIMATES", "BYTES/s",
+void printEstimateUpdates(const std::vector<news_row> &Updates) {
+  std::printf("\n%-32s %12s %12s %9s %9s\n", "UPDATES OF ESTIMATES", "BYTES/s",
               "WHOLE TABLE", "BEHIND", "OFF (SE)");
-  for (const news_row &Row : News)
+  for (const news_row &Row : Updates)
     std::printf("%-32s %12.0f %12.0f %9.0f %9.2f\n", Row.Scenario.c_str(),
                 Row.BytesPerSecond, Row.WholeTableBytes, Row.Behind,
                 Row.WorstOff);
@@ -141,24 +142,24 @@
                 spreadText(Row.WorstShortfall, 4).c_str(),
                 spreadText(Row.CellsMet, 2).c_str());
   false_stop_row Stops = benchFalseStops();
-  std::printf("\nFALSE STOPS: %d whole and %d in part of %d clean roll-outs\n",
-              Stops.Stopped, Stops.StoppedInPart, Stops.Rollouts);
+  std::printf(
+      "\nFALSE STOPS: %d in full and %d in part, of %d good roll-outs\n",
+      Stops.Stopped, Stops.StoppedInPart, Stops.Rollouts);
   std::printf("\n%-6s %-18s %-8s %16s %16s %16s %16s\n", "LOAD",
-              "WAITS, 20 SEEDS", "CLASS", "P50 ms", "P95 ms", "P99 ms",
-              "NOT RUN");
+              "WAITS, 20 SEEDS", "CLASS", "P50 ms", "P95 ms", "P99 ms", "SHED");
   auto Print = [](const wait_row &Row, const char *Class,
                   const wait_quantiles &Waits) {
     std::printf("%4.0f%%  %-18s %-8s %16s %16s %16s %16s\n", 100 * Row.Load,
                 Row.Policy.c_str(), Class, spreadText(Waits.P50, 0).c_str(),
                 spreadText(Waits.P95, 0).c_str(),
                 spreadText(Waits.P99, 0).c_str(),
-                spreadText(Waits.NotRun, 3).c_str());
+                spreadText(Waits.ShedShare, 3).c_str());
   };
   for (const wait_row &Row : benchWaits()) {
     Print(Row, "urgent", Row.Urgent);
     Print(Row, "others", Row.Others);
   }
-  std::printf("\n%-36s %12s %12s\n", "COST OF A DECISION", "ns", "ALLOCATIONS");
+  std::printf("\n%-36s %12s %12s\n", "TIME OF A DECISION", "ns", "ALLOCATIONS");
   for (const speed_row &Row : benchSpeed())
     std::printf("%-36s %12.0f %12.1f\n", Row.Decision.c_str(), Row.Nanoseconds,
                 Row.Allocations);
@@ -167,15 +168,15 @@
 } // namespace
 
 int main(int Count, char **Values) {
-  std::vector<std::string_view> Words(Values + 1, Values + Count);
-  if (Words == std::vector<std::string_view>{"spread"}) {
+  std::vector<std::string_view> Arguments(Values + 1, Values + Count);
+  if (Arguments == std::vector<std::string_view>{"spread"}) {
     printSpread();
     return 0;
   }
-  bool HasFormat = Words.size() == 2 && Words[0] == "-o";
-  bool Json = HasFormat && Words[1] == "json";
-  bool Svg = HasFormat && Words[1] == "svg";
-  if (!Words.empty() && !Json && !Svg) {
+  bool HasFormat = Arguments.size() == 2 && Arguments[0] == "-o";
+  bool Json = HasFormat && Arguments[1] == "json";
+  bool Svg = HasFormat && Arguments[1] == "svg";
+  if (!Arguments.empty() && !Json && !Svg) {
     std::fprintf(stderr, "usage: bench [spread | -o json | -o svg]\n");
     return 2;
   }
@@ -198,8 +199,8 @@
   }
   printText(Choice, Rollout, Replicas);
   printPlacement(Placement);
-  printWarming(benchWarming());
-  printNews(benchNews());
+  printWarmup(benchWarming());
+  printEstimateUpdates(benchNews());
   std::printf("\nBench: %llu\n", (unsigned long long)Signature.value());
   return 0;
 }
--- a/bench/news.cpp
+++ b/bench/news.cpp
@@ -1,4 +1,4 @@
-//===- news.cpp - Estimates on their way to a node ------------------------===//
+//===- news.cpp - Size of estimate updates to a node ----------------------===//
 
 #include "bench/bench.h"
 #include "ledger/ratings.h"
@@ -10,11 +10,12 @@
 
 namespace {
 
-constexpr int WarmSeconds = 300;
-constexpr int Seconds = 360;
-constexpr size_t CellsOfGrant = 50;
+constexpr int WarmUpSeconds = 300; ///< Not measured.
+constexpr int Seconds = 360;       ///< Whole run, with the warm-up.
+/// MaxCellsPerGrant of control/control_task.cpp.
+constexpr size_t CellsPerGrant = 50;
 
-struct news_size {
+struct update_scenario {
   const char *Name;
   int Versions;
   int Templates;
@@ -22,19 +23,20 @@
   int RatingsPerSecond;
 };
 
-const news_size Sizes[] = {
+const update_scenario Sizes[] = {
     {"sahel, 70 ratings/s", 4, 5, 10, 70},
     {"design size, 2,500 ratings/s", 13, 10, 20, 2500},
 };
 
-/// A few large accounts and templates, many small ones.
+/// Draws an index below \p Count with a skewed distribution: a few accounts and
+/// templates get most ratings.
 int skewed(std::mt19937_64 &Random, int Count) {
   std::uniform_real_distribution<double> Unit(0, 1);
   double U = Unit(Random);
   return int(U * U * U * Count);
 }
 
-wire::rating makeRating(std::mt19937_64 &Random, const news_size &Size) {
+wire::rating makeRating(std::mt19937_64 &Random, const update_scenario &Size) {
   wire::rating Rating;
   int Version = skewed(Random, Size.Versions);
   Rating.set_template_("template-" +
@@ -49,32 +51,32 @@
   return Rating;
 }
 
-news_row runNews(const news_size &Size) {
+news_row runUpdates(const update_scenario &Size) {
   std::mt19937_64 Random(11);
   catalog Catalog;
-  rating_store Book;
+  rating_store Store;
   estimates AtNode;
-  uint64_t Known = 0;
+  uint64_t ReceivedIndex = 0;
   news_row Row{Size.Name};
   for (int Second = 0; Second < Seconds; ++Second) {
     for (int I = 0; I < Size.RatingsPerSecond; ++I)
-      Book.add(makeRating(Random, Size), Catalog);
+      Store.add(makeRating(Random, Size), Catalog);
     wire::estimate_table Table;
-    Book.fillEstimateTable(Known, CellsOfGrant, Table);
+    Store.fillEstimateTable(ReceivedIndex, CellsPerGrant, Table);
     loadCells(Table.cells(), AtNode);
-    Known = Table.index();
-    if (Second >= WarmSeconds)
+    ReceivedIndex = Table.index();
+    if (Second >= WarmUpSeconds)
       Row.BytesPerSecond +=
-          double(Table.ByteSizeLong()) / (Seconds - WarmSeconds);
+          double(Table.ByteSizeLong()) / (Seconds - WarmUpSeconds);
   }
   wire::estimate_table Whole;
-  saveCells(Book.quality(), *Whole.mutable_cells());
+  saveCells(Store.quality(), *Whole.mutable_cells());
   Row.WholeTableBytes = double(Whole.ByteSizeLong());
-  Row.Behind = double(Book.ratings() - Known);
-  for (const auto &[Key, Sums] : Book.quality().cells()) {
-    estimate Here = Book.quality().of(Key, 1);
-    double Off = std::abs(AtNode.of(Key, 1).Quality - Here.Quality);
-    Row.WorstOff = std::max(Row.WorstOff, Off / Here.Error);
+  Row.Behind = double(Store.ratings() - ReceivedIndex);
+  for (const auto &[Key, Sums] : Store.quality().cells()) {
+    estimate AtControl = Store.quality().of(Key, 1);
+    double Deviation = std::abs(AtNode.of(Key, 1).Quality - AtControl.Quality);
+    Row.WorstOff = std::max(Row.WorstOff, Deviation / AtControl.Error);
   }
   return Row;
 }
@@ -83,8 +85,8 @@
 
 std::vector<news_row> benchNews() {
   std::vector<news_row> Rows;
-  for (const news_size &Size : Sizes)
-    Rows.push_back(runNews(Size));
+  for (const update_scenario &Size : Sizes)
+    Rows.push_back(runUpdates(Size));
   return Rows;
 }
 
--- a/bench/plot.cpp
+++ b/bench/plot.cpp
@@ -1,4 +1,4 @@
-//===- plot.cpp - The bench as a picture ----------------------------------===//
+//===- plot.cpp - Benchmark results as SVG --------------------------------===//
 
 #include "bench/plot.h"
 #include "absl/strings/str_cat.h"
@@ -17,15 +17,17 @@
     "#1b6ca8", "#c44536", "#3a7d44", "#8a4fff",
     "#b08900", "#444444", "#d16ba5", "#008b8b"};
 
+/// The values that an axis spans.
 struct range {
   double Low;
   double High;
+  /// Position of a value on an axis of \p Pixels length.
   double at(double Value, double Pixels) const {
     return Pixels * (Value - Low) / (High - Low);
   }
 };
 
-/// One picture with axes, at a place of the page.
+/// One chart with axes, placed at a position of the document.
 class panel {
 public:
   panel(double Left, double Top, range X, range Y, const std::string &Title)
@@ -83,14 +85,14 @@
 
 std::string choicePanel(const std::vector<choice_row> &Rows,
                         const std::string &Workload, double Left) {
-  double Most = 0;
-  double Least = 1;
+  double MaxCost = 0;
+  double MinQuality = 1;
   for (const choice_row &Row : Rows)
     if (Row.Workload == Workload) {
-      Most = std::max(Most, Row.CostPerThousand);
-      Least = std::min(Least, Row.Quality);
+      MaxCost = std::max(MaxCost, Row.CostPerThousand);
+      MinQuality = std::min(MinQuality, Row.Quality);
     }
-  panel Panel(Left, Margin, {0, Most * 1.05}, {Least - 0.02, 1},
+  panel Panel(Left, Margin, {0, MaxCost * 1.05}, {MinQuality - 0.02, 1},
               Workload + ": mean quality over cost of 1,000 requests");
   size_t Colour = 0;
   for (const choice_row &Row : Rows) {
@@ -108,15 +110,15 @@
 std::string exposurePanel(const std::vector<rollout_row> &Rows,
                           const std::string &Scenario, double Left,
                           double Top) {
-  double Most = 1;
+  double MaxExposed = 1;
   size_t Points = 1;
   for (const rollout_row &Row : Rows)
     if (Row.Scenario == Scenario) {
-      Most = std::max(Most, Row.Curve.back());
+      MaxExposed = std::max(MaxExposed, Row.Curve.back());
       Points = Row.Curve.size();
     }
   panel Panel(Left, Top, {0, double(CurveStep) * double(Points)},
-              {0, Most * 1.05},
+              {0, MaxExposed * 1.05},
               Scenario + ": bad answers over requests, mean of 40 runs");
   size_t Colour = 0;
   for (const rollout_row &Row : Rows) {
--- a/bench/plot.h
+++ b/bench/plot.h
@@ -1,6 +1,6 @@
-//===- plot.h - The bench as a picture --------------------------*- C++ -*-===//
+//===- plot.h - Benchmark results as SVG ------------------------*- C++ -*-===//
 //
-// Cost against quality, and bad answers against time, as one SVG.
+// Draws quality over cost and bad answers over requests as one SVG document.
 //
 //===----------------------------------------------------------------------===//
 
@@ -11,6 +11,7 @@
 
 namespace olivevalve {
 
+/// Returns an SVG document with two panels for each kind of row.
 std::string plotSvg(const std::vector<choice_row> &Choice,
                     const std::vector<rollout_row> &Rollout);
 
--- a/bench/pool_run.cpp
+++ b/bench/pool_run.cpp
@@ -1,4 +1,4 @@
-//===- pool_run.cpp - Arrivals and ends at one pool -----------------------===//
+//===- pool_run.cpp - Simulated pool of replicas --------------------------===//
 
 #include "bench/pool_run.h"
 #include <algorithm>
@@ -7,16 +7,18 @@
 
 namespace {
 
-constexpr double NewsEvery = 1.5; ///< Seconds between a replica's looks.
-constexpr double TellEvery = 10;  ///< It tells at least so often.
-constexpr int Prefixes = 60;
-constexpr size_t WarmPrefixes = 12;  ///< That a replica keeps.
-constexpr double PrefixSaving = 0.3; ///< Of the service time, when warm.
+constexpr double SampleSeconds = 1.5; ///< Interval of a sidecar's load samples.
+/// Longest interval of a sidecar's reports, also if its load has not changed.
+constexpr double MaxReportSeconds = 10;
+constexpr int Prefixes = 60;        ///< Different prompt prefixes.
+constexpr size_t WarmPrefixes = 12; ///< Prefixes that a replica caches.
+/// Share of the service time that a cached prefix saves.
+constexpr double PrefixSaving = 0.3;
 constexpr uint32_t UsualPriority = 2;
 
 } // namespace
 
-void bench_replica::tell(size_t Entry, double Now) {
+void bench_replica::reportTo(size_t Entry, double Now) {
   view &View = Views[Entry];
   View.Running = Running;
   View.Queued = double(Waiting.size());
@@ -24,28 +26,28 @@
   View.OwnAtReport = View.Own;
 }
 
-std::vector<replica_state> newsOf(const pick_input &Input) {
-  std::vector<replica_state> News;
+std::vector<replica_state> replicaStates(const pick_input &Input) {
+  std::vector<replica_state> States;
   for (size_t I = 0; I < Input.Replicas.size(); ++I) {
     const auto &View = Input.Replicas[I].Views[Input.Entry];
-    News.push_back({.OwnInFlight = View.Own,
-                    .ReportedRunning = View.Running,
-                    .ReportedQueued = View.Queued,
-                    .OwnAtReport = View.OwnAtReport,
-                    .Age = Input.Now - View.At,
-                    .Slots = double(Input.Slots)});
-    News.back().PrefixScore =
+    States.push_back({.OwnInFlight = View.Own,
+                      .ReportedRunning = View.Running,
+                      .ReportedQueued = View.Queued,
+                      .OwnAtReport = View.OwnAtReport,
+                      .Age = Input.Now - View.At,
+                      .Slots = double(Input.Slots)});
+    States.back().PrefixScore =
         checksum(std::to_string(I), uint64_t(Input.Prefix));
   }
-  return News;
+  return States;
 }
 
 double class_waits::quantileMs(double Share) {
   if (Waits.empty())
     return 0;
-  size_t Place = size_t(Share * double(Waits.size() - 1));
-  std::nth_element(Waits.begin(), Waits.begin() + int64_t(Place), Waits.end());
-  return 1000 * Waits[Place];
+  size_t Index = size_t(Share * double(Waits.size() - 1));
+  std::nth_element(Waits.begin(), Waits.begin() + int64_t(Index), Waits.end());
+  return 1000 * Waits[Index];
 }
 
 pool_run::pool_run(const bench_pool &Pool, uint64_t Seed)
@@ -53,8 +55,8 @@
   size_t Slow = size_t(Pool.SlowShare * double(Pool.Replicas));
   for (size_t I = 0; I < Replicas.size(); ++I) {
     Replicas[I].Speed = I < Slow ? 0.5 : 1;
-    Replicas[I].LookedAt = -NewsEvery * double(I) / double(Pool.Replicas);
-    Replicas[I].ToldAt = -TellEvery;
+    Replicas[I].SampledAt = -SampleSeconds * double(I) / double(Pool.Replicas);
+    Replicas[I].ReportedAt = -MaxReportSeconds;
   }
 }
 
@@ -69,7 +71,7 @@
     size_t Entry = Random() % BenchEntries;
     int Prefix = int(Random() % Prefixes);
     size_t Choice =
-        place(Pick, {Replicas, Entry, Prefix, Now, Pool.Slots, Random});
+        choose(Pick, {Replicas, Entry, Prefix, Now, Pool.Slots, Random});
     if (Signature)
       Signature->add(std::to_string(Choice));
     arrive(Choice, Entry, Prefix, Now);
@@ -77,34 +79,35 @@
   endUntil(Now + 1000);
 }
 
-// A sidecar says at once whether a request has to wait; the entry then chooses
-// again, knowing that.
-size_t pool_run::place(const picker &Pick, const pick_input &Input) {
+// A sidecar reports at once that a request is queued. The entry then chooses
+// again with that report, and moves the request if the second replica has a
+// free slot.
+size_t pool_run::choose(const picker &Pick, const pick_input &Input) {
   size_t Choice = Pick(Input);
-  for (int Moves = 0; Moves < Pool.Moves; ++Moves) {
+  for (int MoveCount = 0; MoveCount < Pool.Moves; ++MoveCount) {
     bench_replica &R = Replicas[Choice];
     if (R.Running < Pool.Slots)
       return Choice;
     R.Views[Input.Entry].Own += 1;
-    R.tell(Input.Entry, Input.Now);
+    R.reportTo(Input.Entry, Input.Now);
     R.Views[Input.Entry].Queued += 1;
-    std::vector<replica_state> News = newsOf(Input);
-    News.erase(News.begin() + int64_t(Choice));
-    size_t Again = *chooseReplica(News, Random);
-    bool Free = hasFreeSlot(News[Again]);
-    Again += Again >= Choice ? 1 : 0;
+    std::vector<replica_state> States = replicaStates(Input);
+    States.erase(States.begin() + int64_t(Choice));
+    size_t Second = *chooseReplica(States, Random);
+    bool Free = hasFreeSlot(States[Second]);
+    Second += Second >= Choice ? 1 : 0;
     R.Views[Input.Entry].Own -= 1;
-    R.tell(Input.Entry, Input.Now);
+    R.reportTo(Input.Entry, Input.Now);
     if (!Free)
       return Choice;
     ++Moved;
-    Choice = Again;
+    Choice = Second;
   }
   return Choice;
 }
 
-void pool_run::arrive(size_t Place, size_t Entry, int Prefix, double Now) {
-  bench_replica &R = Replicas[Place];
+void pool_run::arrive(size_t Choice, size_t Entry, int Prefix, double Now) {
+  bench_replica &R = Replicas[Choice];
   R.Views[Entry].Own += 1;
   auto Warm = std::find(R.Warm.begin(), R.Warm.end(), Prefix);
   bool Hit = Warm != R.Warm.end();
@@ -114,9 +117,9 @@
   R.Warm.push_back(Prefix);
   if (R.Warm.size() > WarmPrefixes)
     R.Warm.pop_front();
-  // Answers of about a second, a tenth of them long.
+  // The service time is 0.4 s plus an exponential part with a mean of 0.6 s.
   std::exponential_distribution<double> Service(1);
-  request Request{.Replica = Place, .Entry = Entry, .Arrived = Now};
+  request Request{.Replica = Choice, .Entry = Entry, .Arrived = Now};
   Request.Time = (0.4 + 0.6 * Service(Random)) / R.Speed;
   Request.Time *= Hit ? 1 - PrefixSaving : 1;
   Request.Priority = UsualPriority;
@@ -134,7 +137,7 @@
   if (Shed)
     shed(*Shed);
   startNext(R, Now);
-  R.tell(Entry, Now);
+  R.reportTo(Entry, Now);
 }
 
 void pool_run::shed(uint64_t Ticket) {
@@ -172,25 +175,25 @@
     --R.Running;
     R.Views[Request.Entry].Own -= 1;
     startNext(R, End.At);
-    R.tell(Request.Entry, End.At);
+    R.reportTo(Request.Entry, End.At);
   }
 }
 
 void pool_run::report(double Now) {
   for (bench_replica &R : Replicas) {
-    if (Now < R.LookedAt + NewsEvery)
+    if (Now < R.SampledAt + SampleSeconds)
       continue;
-    R.LookedAt = Now;
-    ++Looks;
+    R.SampledAt = Now;
+    ++LoadSamples;
     sidecar_load Load{uint32_t(R.Running), uint32_t(R.Waiting.size())};
-    if (Now < R.ToldAt + TellEvery &&
-        !isReportDue(R.Told, Load, uint32_t(Pool.Slots)))
+    if (Now < R.ReportedAt + MaxReportSeconds &&
+        !isReportDue(R.LastReport, Load, uint32_t(Pool.Slots)))
       continue;
-    R.ToldAt = Now;
-    R.Told = Load;
-    ++Told;
+    R.ReportedAt = Now;
+    R.LastReport = Load;
+    ++Reports;
     for (size_t Entry = 0; Entry < BenchEntries; ++Entry)
-      R.tell(Entry, Now);
+      R.reportTo(Entry, Now);
   }
 }
 
--- a/bench/pool_run.h
+++ b/bench/pool_run.h
@@ -1,7 +1,8 @@
-//===- pool_run.h - Arrivals and ends at one pool ---------------*- C++ -*-===//
+//===- pool_run.h - Simulated pool of replicas ------------------*- C++ -*-===//
 //
-// Scripted arrivals at replicas with slots and the sidecar's queue, for the
-// decisions that choose among them. Entries see what they would have been told.
+// Simulates arrivals and service times at replicas, each with a number of slots
+// and the sidecar's queue, to benchmark the choice of a replica. Entries see
+// the load only as it was last reported to them.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,43 +25,52 @@
 
 constexpr size_t BenchEntries = 8;
 
+/// Parameters of a run.
 struct bench_pool {
   std::string Name;
   size_t Replicas = 20;
-  int Slots = 8;
-  double Load = 0.7;        ///< Of capacity without warm prefixes.
-  double SlowShare = 0;     ///< Of replicas that take twice the time.
-  double UrgentShare = 0;   ///< Requests of priority 0; the others have 2.
-  double LongestWait = 1e9; ///< Seconds; then a request is shed.
+  int Slots = 8; ///< Requests that a replica runs concurrently.
+  /// Arrival rate as a share of the capacity without prefix hits.
+  double Load = 0.7;
+  double SlowShare = 0; ///< Share of replicas with half the speed.
+  /// Share of requests with priority 0; the others have priority 2.
+  double UrgentShare = 0;
+  /// Seconds in the queue after which a request is shed.
+  double LongestWait = 1e9;
   int Requests = 60000;
-  int Moves = 0; ///< Most of one request that was told to wait.
+  /// How often a request that was queued may be moved to another replica.
+  int Moves = 0;
 };
 
-/// A replica as it is, and as it last said it was.
+/// A replica's actual state, and its state as entries last received it.
 struct bench_replica {
-  /// What each entry last heard: as news, and with its own answers.
+  /// What one entry has: the last reported load, from a periodic report or with
+  /// an answer to one of its requests, and its own requests.
   struct view {
     double Running = 0;
     double Queued = 0;
-    double At = 0;
-    double Own = 0;
-    double OwnAtReport = 0;
+    double At = 0;          ///< Time of the report in seconds.
+    double Own = 0;         ///< Requests in flight from this entry.
+    double OwnAtReport = 0; ///< The same at the time of the report.
   };
-  static constexpr size_t QueueLength = 256; ///< As sidecar_task.cpp.
+  /// MaxQueueLength of sidecar/sidecar_task.cpp.
+  static constexpr size_t QueueLength = 256;
 
   int Running = 0;
   work_queue Waiting{QueueLength};
-  std::deque<int> Warm; ///< Prefixes.
-  double Speed = 1;
+  std::deque<int> Warm; ///< Cached prefixes, the least recently used first.
+  double Speed = 1;     ///< Relative; 0.5 takes twice the time.
   std::array<view, BenchEntries> Views{};
-  double LookedAt = 0;
-  double ToldAt = 0;
-  sidecar_load Told;
+  double SampledAt = 0;  ///< When the sidecar last sampled its load.
+  double ReportedAt = 0; ///< When it last reported to all entries.
+  sidecar_load LastReport;  ///< What it then reported.
 
-  void tell(size_t Entry, double Now);
+  /// Updates the view of one entry to the current state.
+  void reportTo(size_t Entry, double Now);
 };
 
-/// What a policy sees and picks from.
+/// What a policy may use to pick a replica. The baseline with exact load reads
+/// the actual state of the replicas, all others only the views of the entry.
 struct pick_input {
   const std::vector<bench_replica> &Replicas;
   size_t Entry;
@@ -71,28 +81,31 @@
 };
 using picker = std::function<size_t(const pick_input &)>;
 
-/// The news that the decision code of an entry would have.
-std::vector<replica_state> newsOf(const pick_input &Input);
+/// The states of the replicas as the decision code of the entry has them.
+std::vector<replica_state> replicaStates(const pick_input &Input);
 
-/// Waits of one class of requests, in seconds, and how many were shed.
+/// Queueing times of one class of requests in seconds, and how many were shed.
 struct class_waits {
   std::vector<double> Waits;
   int Shed = 0;
-  /// Milliseconds below which \p Share of the waits are.
+  /// The quantile \p Share, 0 to 1, of the queueing times, in milliseconds; 0
+  /// if there are none. Reorders Waits.
   double quantileMs(double Share);
 };
 
+/// One run of a policy at one pool.
 class pool_run {
 public:
   pool_run(const bench_pool &Pool, uint64_t Seed);
+  /// Runs all requests; adds each choice to \p Signature unless it is null.
   void run(const picker &Pick, decision_signature *Signature);
 
   class_waits Urgent;
   class_waits Others;
   int WarmHits = 0;
-  double Looks = 0; ///< At the load of a replica.
-  double Told = 0;  ///< Of these, told to entries.
-  int Moved = 0;    ///< Requests sent on to another replica.
+  double LoadSamples = 0; ///< Samples of a replica's load by its sidecar.
+  double Reports = 0;     ///< Samples that were reported to the entries.
+  int Moved = 0;          ///< Moves of queued requests to another replica.
 
 private:
   struct request {
@@ -100,16 +113,17 @@
     size_t Entry = 0;
     uint32_t Priority = 1;
     double Arrived = 0;
-    double Time = 0; ///< Of service.
+    double Time = 0; ///< Service time in seconds.
   };
+  /// The end of a running request.
   struct ending {
     double At;
     uint64_t Ticket;
     bool operator>(const ending &Other) const { return At > Other.At; }
   };
 
-  size_t place(const picker &Pick, const pick_input &Input);
-  void arrive(size_t Place, size_t Entry, int Prefix, double Now);
+  size_t choose(const picker &Pick, const pick_input &Input);
+  void arrive(size_t Choice, size_t Entry, int Prefix, double Now);
   void begin(uint64_t Ticket, double Now);
   void shed(uint64_t Ticket);
   void startNext(bench_replica &Replica, double Now);
@@ -122,7 +136,7 @@
   const bench_pool &Pool;
   std::mt19937_64 Random;
   std::vector<bench_replica> Replicas;
-  std::map<uint64_t, request> Open; ///< Waiting or running.
+  std::map<uint64_t, request> Open; ///< Queued or running, by ticket.
   std::priority_queue<ending, std::vector<ending>, std::greater<>> Ends;
   uint64_t NextTicket = 1;
 };
--- a/bench/replicas.cpp
+++ b/bench/replicas.cpp
@@ -1,4 +1,4 @@
-//===- replicas.cpp - Waiting of requests under stale news ----------------===//
+//===- replicas.cpp - Queueing times with outdated load reports -----------===//
 
 #include "bench/pool_run.h"
 #include <array>
@@ -15,7 +15,7 @@
     {.Name = "10 replicas at 85%", .Replicas = 10, .Load = 0.85},
 };
 
-// Of capacity, for the two classes.
+// Shares of capacity at which the two classes are measured.
 const double Loads[] = {0.6, 0.8, 0.95, 1.2};
 constexpr uint64_t Seeds = 20;
 constexpr uint64_t FirstSeed = 100;
@@ -46,22 +46,23 @@
   return Load(A) <= Load(B) ? A : B;
 }
 
-size_t pickOurs(const pick_input &Input) {
-  return *chooseReplica(newsOf(Input), Input.Random);
+size_t pickOlivevalve(const pick_input &Input) {
+  return *chooseReplica(replicaStates(Input), Input.Random);
 }
 
-// The prefix's replica always, however loaded.
+// Always picks the replica with the highest hash for the prefix, whatever its
+// load.
 size_t pickPrefix(const pick_input &Input) {
-  auto News = newsOf(Input);
+  auto States = replicaStates(Input);
   size_t Best = 0;
-  for (size_t I = 1; I < News.size(); ++I)
-    if (News[I].PrefixScore > News[Best].PrefixScore)
+  for (size_t I = 1; I < States.size(); ++I)
+    if (States[I].PrefixScore > States[Best].PrefixScore)
       Best = I;
   return Best;
 }
 
-// Knows what runs and waits now: the bound for choices by load alone.
-size_t pickPerfect(const pick_input &Input) {
+// Picks by the actual current load: the bound for choices by load alone.
+size_t pickExact(const pick_input &Input) {
   size_t Best = 0;
   auto Load = [&](size_t I) {
     const bench_replica &R = Input.Replicas[I];
@@ -75,7 +76,8 @@
 
 replica_row measurePool(bench_pool Pool, const std::string &Policy,
                         const picker &Pick, decision_signature *Signature) {
-  // Only ours sends on what would have to wait.
+  // Only the decision code of the daemons, the one with a signature, moves
+  // queued requests.
   Pool.Moves = Signature ? MaxMoves : 0;
   pool_run Run(Pool, 5);
   Run.run(Pick, Signature);
@@ -87,7 +89,7 @@
           .P95WaitMs = Run.Others.quantileMs(0.95),
           .P99WaitMs = Run.Others.quantileMs(0.99),
           .PrefixHits = double(Run.WarmHits) / Pool.Requests,
-          .NewsShare = Run.Told / Run.Looks};
+          .NewsShare = Run.Reports / Run.LoadSamples};
 }
 
 wait_row measureWaits(double Load, const std::string &Policy,
@@ -106,7 +108,7 @@
       Out.P95.add(Class.quantileMs(0.95));
       Out.P99.add(Class.quantileMs(0.99));
       double All = double(Class.Waits.size()) + Class.Shed;
-      Out.NotRun.add(All > 0 ? Class.Shed / All : 0);
+      Out.ShedShare.add(All > 0 ? Class.Shed / All : 0);
     };
     Add(Run.Urgent, Row.Urgent);
     Add(Run.Others, Row.Others);
@@ -119,23 +121,23 @@
 std::vector<replica_row> benchReplicas(decision_signature &Signature) {
   std::vector<replica_row> Rows;
   for (const bench_pool &Pool : Pools) {
-    std::array<size_t, BenchEntries> Turn{};
+    std::array<size_t, BenchEntries> NextReplica{};
     for (size_t I = 0; I < BenchEntries; ++I)
-      Turn[I] = I * 7;
-    auto RoundRobin = [&Turn](const pick_input &Input) {
-      return Turn[Input.Entry]++ % Input.Replicas.size();
+      NextReplica[I] = I * 7;
+    auto RoundRobin = [&NextReplica](const pick_input &Input) {
+      return NextReplica[Input.Entry]++ % Input.Replicas.size();
     };
     auto Add = [&](const std::string &Policy, const picker &Pick,
-                   decision_signature *Sign) {
-      Rows.push_back(measurePool(Pool, Policy, Pick, Sign));
+                   decision_signature *SignatureOrNull) {
+      Rows.push_back(measurePool(Pool, Policy, Pick, SignatureOrNull));
     };
     Add("random", pickRandom, nullptr);
     Add("round robin", RoundRobin, nullptr);
     Add("least reported", pickLeastReported, nullptr);
     Add("power of two", pickTwo, nullptr);
     Add("prefix always", pickPrefix, nullptr);
-    Add("perfect load news", pickPerfect, nullptr);
-    Add("olivevalve", pickOurs, &Signature);
+    Add("exact current load", pickExact, nullptr);
+    Add("olivevalve", pickOlivevalve, &Signature);
   }
   return Rows;
 }
@@ -149,10 +151,10 @@
       Rows.push_back(measureWaits(Load, Policy, Pick, Urgent, Moves));
     };
     Add("power of two", pickTwo, UrgentShare, 0);
-    Add("perfect load news", pickPerfect, UrgentShare, 0);
-    Add("ours, one class", pickOurs, 0, MaxMoves);
-    Add("ours, never moved", pickOurs, UrgentShare, 0);
-    Add("olivevalve", pickOurs, UrgentShare, MaxMoves);
+    Add("exact current load", pickExact, UrgentShare, 0);
+    Add("ours, one class", pickOlivevalve, 0, MaxMoves);
+    Add("ours, never moved", pickOlivevalve, UrgentShare, 0);
+    Add("olivevalve", pickOlivevalve, UrgentShare, MaxMoves);
   }
   return Rows;
 }
--- a/bench/rollout.cpp
+++ b/bench/rollout.cpp
@@ -1,4 +1,4 @@
-//===- rollout.cpp - Exposure to bad versions -----------------------------===//
+//===- rollout.cpp - Exposure to bad versions in roll-outs ----------------===//
 
 #include "base/fields.h"
 #include "bench/bench.h"
@@ -15,25 +15,25 @@
 constexpr int Runs = 40;
 constexpr int Requests = 12000;
 constexpr int Accounts = 10;
-constexpr double RatedShare = 0.5;
+constexpr double RatedShare = 0.5;     ///< Share of answers that get a rating.
 constexpr double MeanRatingDelay = 80; ///< In requests.
 constexpr double GoodQuality = 0.85;
-constexpr double Spread = 0.15;
-constexpr int GuardEvery = 20; ///< Requests between two looks of the guard.
+constexpr double Spread = 0.15; ///< Standard deviation of ratings.
+constexpr int GuardEvery = 20;  ///< Requests between two runs of the guard.
 
-/// What is wrong with the new version.
+/// In which way the new version is bad.
 struct bench_scenario {
   std::string Name;
-  double Drop = 0;          ///< Of quality.
-  int From = 0;             ///< Request at which it turns bad.
-  bool OneTemplate = false; ///< Only for one of four.
-  bool OneAccount = false;
-  double Fails = 0; ///< Share of answers that fail.
+  double Drop = 0;          ///< Drop of the mean quality.
+  int From = 0;             ///< Request from which on it is bad.
+  bool OneTemplate = false; ///< Bad for one of four templates only.
+  bool OneAccount = false;  ///< Bad for one of ten client accounts only.
+  double Fails = 0;         ///< Share of answers that fail.
   bool isBad() const { return Drop > 0 || Fails > 0; }
 };
 
 const bench_scenario Scenarios[] = {
-    {"good as the old"},
+    {"as good as the old"},
     {"much worse from the start", 0.3},
     {"a little worse from the start", 0.12},
     {"turns bad after settling", 0.3, 6000},
@@ -58,48 +58,53 @@
   return Catalog;
 }
 
-struct late_rating {
+/// A rating that arrives before request number At.
+struct delayed_rating {
   int At;
   wire::rating Rating;
-  bool operator>(const late_rating &Other) const { return At > Other.At; }
+  bool operator>(const delayed_rating &Other) const { return At > Other.At; }
 };
 
 struct run_result {
-  int Exposed = 0; ///< Bad answers or failures given.
-  int SettledAt = -1;
-  bool Stopped = false;
-  bool InPart = false;    ///< Ended for the bad part and no other.
-  bool AnyPart = false;   ///< Ended for some part.
-  std::vector<int> Curve; ///< Exposed, every CurveStep requests.
+  int Exposed = 0;      ///< Bad or failed answers.
+  int SettledAt = -1;   ///< Request at which it got all traffic; -1: never.
+  bool Stopped = false; ///< For all requests.
+  /// Stopped for exactly the template or client account for which it is bad.
+  bool InPart = false;
+  bool AnyPart = false;   ///< Stopped for some template or client account.
+  std::vector<int> Curve; ///< Exposed after each CurveStep requests.
 };
 
-/// Requests, answers and ratings that come late, in part and with noise.
+/// A run with requests and answers, whose ratings are delayed, incomplete and
+/// noisy.
 class rollout_run {
 public:
   rollout_run(const bench_scenario &Scenario, uint64_t Seed)
       : Random(Seed), Scenario(Scenario) {
-    // The old version has been rated for long.
+    // The old version starts with many ratings.
     for (int I = 0; I < 800; ++I) {
       Template = "t" + std::to_string(Random() % 4);
       Account = "a" + std::to_string(Random() % Accounts);
-      Book.add(makeRating("1", I, false), Config);
+      Store.add(makeRating("1", I, false), Config);
     }
   }
 
+  /// \p UsesNew decides for each request whether the new version answers; \p
+  /// RunGuard is called every GuardEvery requests and may stop or settle it.
   run_result run(const std::function<bool(rollout_run &, int)> &UsesNew,
-                 const std::function<void(rollout_run &, int)> &Look) {
+                 const std::function<void(rollout_run &, int)> &RunGuard) {
     for (int I = 0; I < Requests; ++I) {
       Template = "t" + std::to_string(Random() % 4);
       Account = "a" + std::to_string(Random() % Accounts);
-      while (!Late.empty() && Late.top().At <= I) {
-        const wire::rating &Rating = Late.top().Rating;
-        Book.add(Rating, Config);
+      while (!Delayed.empty() && Delayed.top().At <= I) {
+        const wire::rating &Rating = Delayed.top().Rating;
+        Store.add(Rating, Config);
         if (Rating.version() == "2")
-          onNewRating(Rating.failed() ? 0 : Rating.score());
-        Late.pop();
+          addWindowRating(Rating.failed() ? 0 : Rating.score());
+        Delayed.pop();
       }
       if (I % GuardEvery == 0)
-        Look(*this, I);
+        RunGuard(*this, I);
       bool New = !Result.Stopped && UsesNew(*this, I);
       answer(New ? "2" : "1", I);
       if (I % CurveStep == 0)
@@ -108,19 +113,19 @@
     return Result;
   }
 
-  std::string Template; ///< Of the request that is decided now.
-  std::string Account;
+  std::string Template; ///< Template of the current request.
+  std::string Account;  ///< Client account of the current request.
   stopped_scopes Stopped;
   catalog Config = makeCatalog("rolling");
-  rating_store Book;
+  rating_store Store;
   run_result Result;
   std::mt19937_64 Random;
   std::uniform_real_distribution<double> Unit{0, 1};
-  double Allowance = 0;
-  void stopParts(const std::vector<guard_scope> &Parts) {
-    for (const guard_scope &Part : Parts) {
-      bool IsTemplate = Part.Kind == guard_scope::scope_kind::Template;
-      (IsTemplate ? Stopped.Templates : Stopped.Accounts).push_back(Part.Name);
+  double Allowance = 0; ///< Requests that the new version may still get.
+  void stopScopes(const std::vector<guard_scope> &NewScopes) {
+    for (const guard_scope &Scope : NewScopes) {
+      bool IsTemplate = Scope.Kind == guard_scope::scope_kind::Template;
+      (IsTemplate ? Stopped.Templates : Stopped.Accounts).push_back(Scope.Name);
     }
     Config = makeCatalog(Settled ? "active" : "rolling", Stopped);
     Result.AnyPart = true;
@@ -166,45 +171,46 @@
     Exposure.set_model("m");
     Exposure.set_version(Version);
     Exposure.set_answers(1);
-    Book.addExposure(Exposure);
+    Store.addExposure(Exposure);
     std::exponential_distribution<double> Delay(1 / MeanRatingDelay);
-    // A failure is seen at once, a rating comes late or not at all.
+    // A failure is reported at once; a rating arrives late or not at all.
     int At = I + 1 + (Rating.failed() ? 0 : int(Delay(Random)));
     if (Rating.failed() || Unit(Random) < RatedShare)
-      Late.push({At, Rating});
+      Delayed.push({At, Rating});
   }
 
-  void onNewRating(double Score) {
+  void addWindowRating(double Score) {
     WindowSum += Score;
     WindowCount += 1;
   }
 
   const bench_scenario &Scenario;
-  std::priority_queue<late_rating, std::vector<late_rating>, std::greater<>>
-      Late;
+  std::priority_queue<delayed_rating, std::vector<delayed_rating>,
+                      std::greater<>>
+      Delayed;
   bool LastBad = false;
 };
 
-run_result runOurs(const bench_scenario &Scenario, uint64_t Seed,
-                   decision_signature &Signature) {
+run_result runOlivevalve(const bench_scenario &Scenario, uint64_t Seed,
+                         decision_signature &Signature) {
   rollout_run Run(Scenario, Seed);
   estimates None;
-  choice_cache Prepared;
+  choice_cache Cache;
   auto UsesNew = [&](rollout_run &R, int) {
-    choice_input Question{.Template = "t", .Policy = cheapest_policy{}};
-    Question.Candidates = {{.Name = {"m", "1"}}, {.Name = {"m", "2"}}};
-    Question.Candidates[1].Rolling = !R.Settled;
-    Question.Candidates[1].Allowance = R.Allowance;
+    choice_input Input{.Template = "t", .Policy = cheapest_policy{}};
+    Input.Candidates = {{.Name = {"m", "1"}}, {.Name = {"m", "2"}}};
+    Input.Candidates[1].Rolling = !R.Settled;
+    Input.Candidates[1].Allowance = R.Allowance;
     if (R.Stopped.covers(R.Template, R.Account))
       return false;
     if (R.Settled)
       return true;
-    bool New = chooseArm(Question, None, Prepared, R.Random)->Rolling;
+    bool New = chooseArm(Input, None, Cache, R.Random)->Rolling;
     R.Allowance -= New ? 1 : 0;
     return New;
   };
-  auto Look = [&](rollout_run &R, int I) {
-    for (const guard_report &Report : R.Book.evaluate(R.Config)) {
+  auto RunGuard = [&](rollout_run &R, int I) {
+    for (const guard_report &Report : R.Store.evaluate(R.Config)) {
       if (Report.Name.Version != "2" || R.Result.Stopped)
         continue;
       R.Allowance = Report.Allowance;
@@ -213,7 +219,7 @@
         R.Result.Stopped = true;
         R.Result.InPart = false;
       } else if (!Report.StoppedScopes.empty()) {
-        R.stopParts(Report.StoppedScopes);
+        R.stopScopes(Report.StoppedScopes);
       } else if (Report.Verdict == guard_verdict::Settle && !R.Settled) {
         R.Settled = true;
         R.Result.SettledAt = I;
@@ -221,18 +227,19 @@
       }
     }
   };
-  return Run.run(UsesNew, Look);
+  return Run.run(UsesNew, RunGuard);
 }
 
-// A canary for a fixed time: a tenth of requests until 3,000 have passed, then
-// all, if the mean is not lower than the old one's by the same tolerance.
+// Runs a baseline: a canary of fixed length gets a tenth of the requests until
+// 3,000 have passed, and then all, unless its mean rating is lower than that of
+// the old version by more than the guard's tolerance.
 run_result runCanary(const bench_scenario &Scenario, uint64_t Seed) {
   constexpr int CanaryRequests = 3000;
   rollout_run Run(Scenario, Seed);
   auto UsesNew = [&](rollout_run &R, int) {
     return R.Settled || R.Unit(R.Random) < 0.1;
   };
-  auto Look = [&](rollout_run &R, int I) {
+  auto RunGuard = [&](rollout_run &R, int I) {
     if (I < CanaryRequests || R.Settled || R.Result.Stopped)
       return;
     double Mean = R.WindowCount > 0 ? R.WindowSum / R.WindowCount : 0;
@@ -243,7 +250,7 @@
     R.Settled = true;
     R.Result.SettledAt = I;
   };
-  return Run.run(UsesNew, Look);
+  return Run.run(UsesNew, RunGuard);
 }
 
 double quantile(std::vector<double> Values, double Share) {
@@ -279,14 +286,15 @@
 std::vector<rollout_row> benchRollout(decision_signature &Signature) {
   std::vector<rollout_row> Rows;
   for (const bench_scenario &Scenario : Scenarios) {
-    std::vector<run_result> Ours;
+    std::vector<run_result> Olivevalve;
     std::vector<run_result> Canary;
     for (int Run = 0; Run < Runs; ++Run) {
-      Ours.push_back(runOurs(Scenario, uint64_t(Run) + 1, Signature));
+      Olivevalve.push_back(
+          runOlivevalve(Scenario, uint64_t(Run) + 1, Signature));
       Canary.push_back(runCanary(Scenario, uint64_t(Run) + 1));
     }
     Rows.push_back(summarise(Scenario, "fixed-time canary", Canary));
-    Rows.push_back(summarise(Scenario, "olivevalve", Ours));
+    Rows.push_back(summarise(Scenario, "olivevalve", Olivevalve));
   }
   return Rows;
 }
@@ -297,7 +305,8 @@
   false_stop_row Row{.Rollouts = Clean};
   decision_signature None;
   for (int Run = 0; Run < Clean; ++Run) {
-    run_result Result = runOurs(Scenarios[0], FirstSeed + uint64_t(Run), None);
+    run_result Result =
+        runOlivevalve(Scenarios[0], FirstSeed + uint64_t(Run), None);
     Row.Stopped += Result.Stopped ? 1 : 0;
     Row.StoppedInPart += Result.AnyPart ? 1 : 0;
   }
--- a/bench/speed.cpp
+++ b/bench/speed.cpp
@@ -1,4 +1,4 @@
-//===- speed.cpp - What a decision costs ----------------------------------===//
+//===- speed.cpp - Processing time of a decision --------------------------===//
 
 #include "bench/bench.h"
 #include "policy/replica_choice.h"
@@ -13,15 +13,16 @@
 std::atomic<uint64_t> Allocations = 0;
 } // namespace
 
-// Counts every allocation of the program. Never inlined: the compiler would see
-// free() on what it takes for the library's own memory.
+// Counts every heap allocation of the program. Not inlined, because the
+// compiler would otherwise see memory of operator new passed to free() and warn
+// of a mismatch.
 [[gnu::noinline]] void *operator new(size_t Size) {
   ++Allocations;
   if (void *Memory = std::malloc(Size))
     return Memory;
   throw std::bad_alloc();
 }
-// std::stable_sort asks in this form.
+// std::stable_sort allocates with this form.
 [[gnu::noinline]] void *operator new(size_t Size,
                                      const std::nothrow_t &) noexcept {
   ++Allocations;
@@ -46,7 +47,7 @@
 constexpr size_t Replicas = 86;
 constexpr int Templates = 6;
 constexpr int Accounts = 10;
-constexpr int Decisions = 20000;
+constexpr int Decisions = 20000; ///< Measured for each row.
 
 estimates ratedEstimates() {
   estimates Estimates;
@@ -82,35 +83,37 @@
 std::vector<speed_row> benchSpeed() {
   estimates Estimates = ratedEstimates();
   std::mt19937_64 Random(9);
-  choice_input Question{.Template = "t1",
-                        .Account = "a1",
-                        .QualityTarget = 0.8,
-                        .Policy = cheapest_policy{}};
+  choice_input Input{.Template = "t1",
+                     .Account = "a1",
+                     .QualityTarget = 0.8,
+                     .Policy = cheapest_policy{}};
   for (int V = 0; V < Versions; ++V)
-    Question.Candidates.push_back(
+    Input.Candidates.push_back(
         {.Name = {"m", std::to_string(V)}, .PriorCost = 1.0 + V});
-  std::vector<replica_state> News(Replicas);
+  std::vector<replica_state> States(Replicas);
   for (size_t I = 0; I < Replicas; ++I)
-    News[I] = {.OwnInFlight = double(I % 3),
-               .ReportedRunning = double(I % 17),
-               .Age = 0.5,
-               .Slots = 32,
-               .PrefixScore = checksum(std::to_string(I))};
+    States[I] = {.OwnInFlight = double(I % 3),
+                 .ReportedRunning = double(I % 17),
+                 .Age = 0.5,
+                 .Slots = 32,
+                 .PrefixScore = checksum(std::to_string(I))};
   std::vector<speed_row> Rows;
-  choice_cache Prepared;
-  auto Choose = [&] { chooseArm(Question, Estimates, Prepared, Random); };
-  // As after each news of ratings.
-  auto ChooseAnew = [&] {
+  choice_cache Cache;
+  auto Choose = [&] { chooseArm(Input, Estimates, Cache, Random); };
+  // Changes the estimates first, as an update from control does: what was
+  // derived from the old ones cannot be reused.
+  auto ChooseAfterUpdate = [&] {
     Estimates.set({"", "", {{"m", "0"}, {}}}, {});
     Choose();
   };
   Rows.push_back(measure("version of 13", Choose));
-  Rows.push_back(measure("version of 13, new estimates", ChooseAnew));
-  Question.MayCascade = true;
+  Rows.push_back(measure("version of 13, new estimates", ChooseAfterUpdate));
+  Input.MayCascade = true;
   Rows.push_back(measure("version or cascade", Choose));
-  Rows.push_back(measure("version or cascade, new estimates", ChooseAnew));
   Rows.push_back(
-      measure("replica of 86", [&] { chooseReplica(News, Random); }));
+      measure("version or cascade, new estimates", ChooseAfterUpdate));
+  Rows.push_back(
+      measure("replica of 86", [&] { chooseReplica(States, Random); }));
   return Rows;
 }
 
--- a/bench/warming.cpp
+++ b/bench/warming.cpp
@@ -1,4 +1,4 @@
-//===- warming.cpp - A cold upstream among many gateways ------------------===//
+//===- warming.cpp - Requests of many gateways to a cold upstream ---------===//
 
 #include "policy/warming.h"
 #include "bench/bench.h"
@@ -10,43 +10,46 @@
 
 namespace {
 
-constexpr double Bears = 18; ///< Requests a second while it is cold.
+// Requests per second that a cold upstream can process.
+constexpr double ColdRate = 18;
 constexpr cold_bounds Bounds{.Ratio = 1.5, .Slack = 5};
-// An upstream that has just come up looks best to all.
-constexpr double WantedPerSecond = 200;
+// Rate of requests for which some gateway prefers the cold upstream: it is
+// empty and looks best to all of them.
+constexpr double ArrivalsPerSecond = 200;
 constexpr double StepSeconds = 0.002;
 constexpr double Seconds = 8;
-constexpr double ChangeAt = 3; ///< Half of the gateways start then.
-// Gateways that were there hear of those that start.
-constexpr double NewsSeconds = 0.6;
+constexpr double ChangeAt = 3; ///< Second at which half of the gateways start.
+// Time until the gateways that already run receive the new list of gateways.
+constexpr double UpdateDelaySeconds = 0.6;
 constexpr size_t GatewayCounts[] = {3, 21, 103, 410};
 
-enum class way : uint8_t { Unbounded, ByCount, ByRank };
-constexpr std::string_view WayNames[] = {"no bound", "share by count",
-                                         "few by rank"};
+/// How a gateway limits its requests to the cold upstream.
+enum class limit_policy : uint8_t { Unbounded, ByCount, ByRank };
+constexpr std::string_view LimitNames[] = {"no bound", "equal share",
+                                           "share by rank"};
 
 struct cold_gateway {
-  warmup_group Before; ///< Known until it hears of the change.
+  warmup_group Before; ///< In use until the update about the change arrives.
   warmup_group After;
   double StartsAt = -RestartDelaySeconds;
   warmup_pacer Pace;
 
-  double shareAt(double Now, way Way) const {
-    bool Late = StartsAt <= 0 && Now < ChangeAt + NewsSeconds;
-    const warmup_group &Circle = Late ? Before : After;
-    if (Way == way::ByRank)
-      return warmupRate(Bears, Bounds, Circle);
-    warmup_group Alone{.Gateways = 1};
-    return warmupRate(Bears, Bounds, Alone) / double(Circle.Gateways);
+  double rateAt(double Now, limit_policy Limit) const {
+    bool HasOldList = StartsAt <= 0 && Now < ChangeAt + UpdateDelaySeconds;
+    const warmup_group &Group = HasOldList ? Before : After;
+    if (Limit == limit_policy::ByRank)
+      return warmupRate(ColdRate, Bounds, Group);
+    warmup_group Single{.Gateways = 1};
+    return warmupRate(ColdRate, Bounds, Single) / double(Group.Gateways);
   }
-  bool maySend(double Now, way Way) const {
+  bool maySend(double Now, limit_policy Limit) const {
     if (Now < StartsAt)
       return false;
-    if (Way == way::Unbounded)
+    if (Limit == limit_policy::Unbounded)
       return true;
-    bool Remembers =
-        Way == way::ByCount || Now >= StartsAt + RestartDelaySeconds;
-    return Remembers && Pace.allows(Now) && shareAt(Now, Way) > 0;
+    bool RestartDelayOver =
+        Limit == limit_policy::ByCount || Now >= StartsAt + RestartDelaySeconds;
+    return RestartDelayOver && Pace.allows(Now) && rateAt(Now, Limit) > 0;
   }
 };
 
@@ -55,7 +58,7 @@
   std::vector<cold_gateway> Gateways(Count);
   for (size_t I = 0; I < Count; ++I) {
     Gateways[I].Before = {.Gateways = Old, .Rank = I};
-    // Ranks are drawn anew among all, as a checksum would.
+    // The start of gateways changes all ranks, as with the daemons' checksums.
     Gateways[I].After = {.Gateways = Count, .Rank = (I * 7 + 3) % Count};
     if (I >= Old)
       Gateways[I].StartsAt = ChangeAt;
@@ -63,32 +66,32 @@
   return Gateways;
 }
 
-warming_row play(size_t Count, bool HalfStart, way Way) {
+warming_row runScenario(size_t Count, bool HalfStart, limit_policy Limit) {
   std::vector<cold_gateway> Gateways = gatewaysFor(Count, HalfStart);
   std::mt19937_64 Random(17);
-  std::poisson_distribution<int> Wanted(WantedPerSecond * StepSeconds);
+  std::poisson_distribution<int> Arrivals(ArrivalsPerSecond * StepSeconds);
   std::deque<double> LastSecond;
-  size_t Most = 0;
+  size_t MaxInWindow = 0;
   size_t Sent = 0;
   for (double Now = 0; Now < Seconds; Now += StepSeconds) {
-    for (int Each = Wanted(Random); Each > 0; --Each) {
+    for (int Each = Arrivals(Random); Each > 0; --Each) {
       cold_gateway &Gateway = Gateways[Random() % Count];
-      if (!Gateway.maySend(Now, Way))
+      if (!Gateway.maySend(Now, Limit))
         continue;
-      if (Way != way::Unbounded)
-        Gateway.Pace.recordRequest(Now, Gateway.shareAt(Now, Way));
+      if (Limit != limit_policy::Unbounded)
+        Gateway.Pace.recordRequest(Now, Gateway.rateAt(Now, Limit));
       LastSecond.push_back(Now);
       ++Sent;
     }
     while (!LastSecond.empty() && LastSecond.front() < Now - 1)
       LastSecond.pop_front();
-    Most = std::max(Most, LastSecond.size());
+    MaxInWindow = std::max(MaxInWindow, LastSecond.size());
   }
   std::string Scenario = std::to_string(Count) + " gateways";
   return {.Scenario = Scenario + (HalfStart ? ", half start" : ""),
-          .Policy = std::string(WayNames[size_t(Way)]),
-          .MostInASecond = double(Most),
-          .Bound = Bears * Bounds.Ratio + Bounds.Slack,
+          .Policy = std::string(LimitNames[size_t(Limit)]),
+          .MostInASecond = double(MaxInWindow),
+          .Bound = ColdRate * Bounds.Ratio + Bounds.Slack,
           .SentPerSecond = double(Sent) / Seconds};
 }
 
@@ -98,8 +101,9 @@
   std::vector<warming_row> Rows;
   for (size_t Count : GatewayCounts)
     for (bool HalfStart : {false, true})
-      for (way Way : {way::Unbounded, way::ByCount, way::ByRank})
-        Rows.push_back(play(Count, HalfStart, Way));
+      for (limit_policy Limit : {limit_policy::Unbounded, limit_policy::ByCount,
+                                 limit_policy::ByRank})
+        Rows.push_back(runScenario(Count, HalfStart, Limit));
   return Rows;
 }
 
--- a/ctl/commands.cpp
+++ b/ctl/commands.cpp
@@ -1,4 +1,4 @@
-//===- commands.cpp - What olivevalvectl can do ---------------------------===//
+//===- commands.cpp - Commands of olivevalvectl ---------------------------===//
 
 #include "ctl/commands.h"
 #include "absl/strings/str_cat.h"
@@ -17,7 +17,7 @@
 
 namespace {
 
-constexpr double WatchSeconds = 0.5;
+constexpr double WatchSeconds = 0.5; ///< Interval of polls by watch.
 
 absl::Status usage(std::string_view Text) {
   return makeError(error_kind::BadRequest, Text);
@@ -30,7 +30,8 @@
 
 void printJson(const json &Value) { print(Value.dump(2) + "\n"); }
 
-/// The list in an answer as a table, or the answer as JSON.
+/// Gets \p Path and prints the array \p List of the answer as a table, or the
+/// whole answer as JSON.
 absl::Status printList(const command_options &Options, const std::string &Path,
                        const std::string &List,
                        const std::vector<table_column> &Columns) {
@@ -44,7 +45,8 @@
   return absl::OkStatus();
 }
 
-/// Sends changes under one id and says when they are in force.
+/// Sends changes under one id and prints the index and the time at which they
+/// took effect.
 absl::Status sendChanges(const command_options &Options, const json &Changes) {
   std::string Id = Options.ChangeId.empty()
                        ? "ctl-" + hexOf(randomIncarnation())
@@ -59,7 +61,7 @@
   if (Options.Json)
     printJson(*Answer);
   else
-    print(absl::StrCat("in force at index ", (*Answer)["index"].dump(),
+    print(absl::StrCat("in effect at index ", (*Answer)["index"].dump(),
                        " after ", (*Answer)["seconds"].dump(), " s\n"));
   return absl::OkStatus();
 }
@@ -68,28 +70,30 @@
   return operator_client(Options.Client).get("/v1/objects");
 }
 
-struct present_object {
+/// An object that control holds; Index is 0 if it does not exist.
+struct stored_object {
   uint64_t Index = 0;
   json Document;
 };
 
-present_object findObject(const json &Answer, const object_key &Key) {
+stored_object findObject(const json &Answer, const object_key &Key) {
   for (const json &Object : Answer["objects"])
     if (Object["kind"] == Key.Kind && Object["name"] == Key.Name)
       return {Object["index"].get<uint64_t>(), Object["document"]};
   return {};
 }
 
-json makePut(const object_key &Key, const present_object &Present,
+json makePut(const object_key &Key, const stored_object &Stored,
              const json &Document) {
   return {{"kind", Key.Kind},
           {"name", Key.Name},
-          {"expected_index", Present.Index},
+          {"expected_index", Stored.Index},
           {"document", Document}};
 }
 
-/// What a file would change, as a list of puts.
-absl::StatusOr<json> changesOfFile(const command_options &Options) {
+/// The changes that apply would send: one for each object of the file that is
+/// new or differs from what control holds.
+absl::StatusOr<json> pendingChanges(const command_options &Options) {
   if (Options.File.empty())
     return usage("-f FILE is required");
   auto File = loadConfigFile(Options.File);
@@ -100,26 +104,26 @@
     return Answer.status();
   json Changes = json::array();
   for (const file_object &Object : File->Objects) {
-    present_object Present = findObject(*Answer, Object.Key);
-    if (Present.Index == 0 || Present.Document != Object.Document)
-      Changes.push_back(makePut(Object.Key, Present, Object.Document));
+    stored_object Stored = findObject(*Answer, Object.Key);
+    if (Stored.Index == 0 || Stored.Document != Object.Document)
+      Changes.push_back(makePut(Object.Key, Stored, Object.Document));
   }
   return Changes;
 }
 
 absl::Status apply(const command_options &Options) {
-  auto Changes = changesOfFile(Options);
+  auto Changes = pendingChanges(Options);
   if (!Changes.ok())
     return Changes.status();
   if (Changes->empty()) {
-    print("nothing to change\n");
+    print("no changes\n");
     return absl::OkStatus();
   }
   return sendChanges(Options, *Changes);
 }
 
 absl::Status diff(const command_options &Options) {
-  auto Changes = changesOfFile(Options);
+  auto Changes = pendingChanges(Options);
   if (!Changes.ok())
     return Changes.status();
   if (Options.Json) {
@@ -143,7 +147,7 @@
     return File.status();
   if (absl::Status Status = checkConfig(*File); !Status.ok())
     return Status;
-  print(absl::StrCat(Options.File, ": good; ", File->Objects.size(),
+  print(absl::StrCat(Options.File, ": valid; ", File->Objects.size(),
                      " objects\n"));
   return absl::OkStatus();
 }
@@ -181,30 +185,30 @@
   auto Answer = readObjects(Options);
   if (!Answer.ok())
     return Answer.status();
-  present_object Present = findObject(*Answer, Key);
-  if (Present.Index == 0)
+  stored_object Stored = findObject(*Answer, Key);
+  if (Stored.Index == 0)
     return makeError(error_kind::NotFound, Key.text() + ": does not exist");
   return sendChanges(Options, json::array({{{"kind", Key.Kind},
                                             {"name", Key.Name},
-                                            {"expected_index", Present.Index},
+                                            {"expected_index", Stored.Index},
                                             {"delete", true}}}));
 }
 
-/// Reads an object, lets \p Edit change its document, and writes it back only
-/// if nobody else has changed it meanwhile.
+/// Reads an object, lets \p Edit change its document, and writes it back; fails
+/// with a conflict if it was changed in between.
 template <typename Function>
 absl::Status editObject(const command_options &Options, const object_key &Key,
                         Function Edit) {
   auto Answer = readObjects(Options);
   if (!Answer.ok())
     return Answer.status();
-  present_object Present = findObject(*Answer, Key);
-  if (Present.Index == 0)
+  stored_object Stored = findObject(*Answer, Key);
+  if (Stored.Index == 0)
     return makeError(error_kind::NotFound, Key.text() + ": does not exist");
-  if (absl::Status Status = Edit(Present.Document); !Status.ok())
+  if (absl::Status Status = Edit(Stored.Document); !Status.ok())
     return Status;
   return sendChanges(Options,
-                     json::array({makePut(Key, Present, Present.Document)}));
+                     json::array({makePut(Key, Stored, Stored.Document)}));
 }
 
 absl::Status set(const command_options &Options) {
@@ -240,27 +244,29 @@
        {"resume", version_state::Rolling},
        {"activate", version_state::Active},
        {"withdraw", version_state::Withdrawn}}};
-  const action *Wanted = nullptr;
+  const action *Match = nullptr;
   for (const action &Each : Actions)
     if (!Options.Arguments.empty() && Options.Arguments[0] == Each.Name)
-      Wanted = &Each;
-  if (!Wanted || Options.Arguments.size() != 2)
+      Match = &Each;
+  if (!Match || Options.Arguments.size() != 2)
     return usage("version roll-out|pause|resume|activate|withdraw "
                  "MODEL@VERSION");
   version_name Name = parseVersionName(Options.Arguments[1]);
-  return editObject(
-      Options, {"model", Name.Model}, [&](json &Document) -> absl::Status {
-        if (!Document["versions"].contains(Name.Version))
-          return makeError(error_kind::NotFound,
-                           Name.text() + ": does not exist");
-        json &Version = Document["versions"][Name.Version];
-        Version["state"] = nameOf(Wanted->State);
-        // The operator overrules the guard.
-        bool Anew = Wanted->Name == "roll-out" || Wanted->Name == "activate";
-        if (Anew)
-          Version.erase("stopped_for");
-        return absl::OkStatus();
-      });
+  return editObject(Options, {"model", Name.Model},
+                    [&](json &Document) -> absl::Status {
+                      if (!Document["versions"].contains(Name.Version))
+                        return makeError(error_kind::NotFound,
+                                         Name.text() + ": does not exist");
+                      json &Version = Document["versions"][Name.Version];
+                      Version["state"] = nameOf(Match->State);
+                      // Clears the scopes for which the guard has stopped the
+                      // version: the operator's decision takes precedence.
+                      bool ClearsStops = Match->Name == "roll-out" ||
+                                         Match->Name == "activate";
+                      if (ClearsStops)
+                        Version.erase("stopped_for");
+                      return absl::OkStatus();
+                    });
 }
 
 absl::Status versions(const command_options &Options) {
@@ -276,7 +282,7 @@
                     {"ALLOWANCE", "allowance"}});
 }
 
-/// True if a process called \p Name holds or held a lease as an entry.
+/// True if a process named \p Name holds or has held a lease as an entry.
 absl::StatusOr<bool> isEntry(const command_options &Options,
                              const std::string &Name) {
   auto Answer = operator_client(Options.Client).get("/v1/nodes");
@@ -288,8 +294,8 @@
   return false;
 }
 
-/// An upstream takes no new work; an entry is no longer ready, and serves on
-/// what still comes until the balancer has noticed.
+/// A draining upstream gets no new requests. A draining entry reports not ready
+/// and still serves the requests that it gets until the balancer has noticed.
 absl::Status setDraining(const command_options &Options, bool Draining) {
   if (Options.Arguments.size() != 1)
     return usage("drain|undrain UPSTREAM|ENTRY");
@@ -298,23 +304,24 @@
   if (!Answer.ok())
     return Answer.status();
   object_key Key{"upstream", Name};
-  present_object Present = findObject(*Answer, Key);
-  if (Present.Index != 0) {
-    Present.Document["leaving"] = Draining;
+  stored_object Stored = findObject(*Answer, Key);
+  if (Stored.Index != 0) {
+    Stored.Document["leaving"] = Draining;
     return sendChanges(Options,
-                       json::array({makePut(Key, Present, Present.Document)}));
+                       json::array({makePut(Key, Stored, Stored.Document)}));
   }
   auto Entry = isEntry(Options, Name);
   if (!Entry.ok())
     return Entry.status();
   if (!*Entry)
     return makeError(error_kind::NotFound,
-                     Name + ": is no upstream and no entry; see "
-                            "'olivevalvectl get upstream' and 'nodes'");
+                     Name + ": neither an upstream nor an entry; see "
+                            "'olivevalvectl get upstream' and "
+                            "'olivevalvectl nodes'");
   Key.Kind = "node";
-  Present = findObject(*Answer, Key);
+  Stored = findObject(*Answer, Key);
   return sendChanges(
-      Options, json::array({makePut(Key, Present, {{"draining", Draining}})}));
+      Options, json::array({makePut(Key, Stored, {{"draining", Draining}})}));
 }
 
 absl::Status drain(const command_options &Options) {
@@ -328,10 +335,10 @@
 absl::Status status(const command_options &Options) {
   json All = json::array();
   for (const std::string &Address : Options.Client.Control) {
-    operator_client_options One = Options.Client;
-    One.Control = {Address};
-    One.TimeoutSeconds = 2;
-    auto Answer = operator_client(One).get("/v1/status");
+    operator_client_options OneControl = Options.Client;
+    OneControl.Control = {Address};
+    OneControl.TimeoutSeconds = 2;
+    auto Answer = operator_client(OneControl).get("/v1/status");
     json Row = Answer.ok() ? *Answer : json{{"role", "no answer"}};
     Row["operators"] = Address;
     All.push_back(std::move(Row));
@@ -377,14 +384,14 @@
 }
 
 absl::Status watch(const command_options &Options) {
-  uint64_t Seen = 0;
+  uint64_t LastPrinted = 0;
   for (int Printed = 0; Options.Count == 0 || Printed < Options.Count;) {
     auto Answer = readObjects(Options);
     if (!Answer.ok())
       return Answer.status();
     uint64_t Newest = (*Answer)["index"].get<uint64_t>();
     for (const json &Object : (*Answer)["objects"])
-      if (Object["index"].get<uint64_t>() > Seen) {
+      if (Object["index"].get<uint64_t>() > LastPrinted) {
         ++Printed;
         print(Options.Json
                   ? Object.dump() + "\n"
@@ -392,7 +399,7 @@
                                  Object["kind"].get<std::string>(), "/",
                                  Object["name"].get<std::string>(), "\n"));
       }
-    Seen = Newest;
+    LastPrinted = Newest;
     timespec Pause{0, long(WatchSeconds * 1e9)};
     nanosleep(&Pause, nullptr);
   }
@@ -433,9 +440,9 @@
   return absl::OkStatus();
 }
 
-/// True if a process or an upstream of this data hall is known.
-absl::StatusOr<bool> isHall(const command_options &Options,
-                            const std::string &Name) {
+/// True if control has a process or an upstream in the data hall \p Name.
+absl::StatusOr<bool> hallExists(const command_options &Options,
+                                const std::string &Name) {
   auto Answer = operator_client(Options.Client).get("/v1/halls");
   if (!Answer.ok())
     return Answer.status();
@@ -445,15 +452,17 @@
   return false;
 }
 
-/// Evacuates a data hall, or restores it, if its name is one.
-absl::Status moveHall(const command_options &Options, std::string_view Verb) {
+/// Sends \p Verb, "evacuate" or "restore", for a data hall after checking that
+/// it exists.
+absl::Status sendHallAction(const command_options &Options,
+                            std::string_view Verb) {
   if (Options.Arguments.size() != 1)
     return usage(absl::StrCat(std::string(Verb), " DATA-HALL"));
   const std::string &Name = Options.Arguments[0];
-  auto Known = isHall(Options, Name);
-  if (!Known.ok())
-    return Known.status();
-  if (!*Known)
+  auto Exists = hallExists(Options, Name);
+  if (!Exists.ok())
+    return Exists.status();
+  if (!*Exists)
     return makeError(error_kind::NotFound,
                      Name + ": no such data hall; see 'olivevalvectl halls'");
   auto Answer = operator_client(Options.Client)
@@ -468,11 +477,11 @@
 }
 
 absl::Status evacuate(const command_options &Options) {
-  return moveHall(Options, "evacuate");
+  return sendHallAction(Options, "evacuate");
 }
 
 absl::Status restore(const command_options &Options) {
-  return moveHall(Options, "restore");
+  return sendHallAction(Options, "restore");
 }
 
 absl::Status key(const command_options &Options) {
@@ -489,6 +498,7 @@
   return absl::OkStatus();
 }
 
+// Creates a file that only its owner can read; an existing one is an error.
 absl::Status writePrivate(const std::string &Path, const std::string &Text) {
   int File = open(Path.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, 0600);
   bool Good = File >= 0 &&
@@ -497,7 +507,7 @@
     close(File);
   return Good ? absl::OkStatus()
               : makeError(error_kind::BadRequest,
-                          Path + ": cannot be written, or exists");
+                          Path + ": cannot be written or already exists");
 }
 
 absl::Status linkKeys(const command_options &Options) {
@@ -506,7 +516,8 @@
   std::array<char, 41> Public{};
   std::array<char, 41> Secret{};
   if (zmq_curve_keypair(Public.data(), Secret.data()) != 0)
-    return makeError(error_kind::BadRequest, "no CURVE in this ZeroMQ");
+    return makeError(error_kind::BadRequest,
+                     "the ZeroMQ library has no CURVE support");
   const std::string &Prefix = Options.Arguments[0];
   absl::Status Status =
       writePrivate(Prefix + ".public", std::string(Public.data()) + "\n");
@@ -520,41 +531,44 @@
 
 const std::vector<command_entry> &commandTable() {
   static const std::vector<command_entry> Table = {
-      {"apply", "-f FILE", "Make the objects of FILE what is in force", apply},
+      {"apply", "-f FILE", "Create or update the objects in FILE", apply},
       {"diff", "-f FILE", "Show what apply would change", diff},
-      {"check", "-f FILE", "Check FILE without any control VM", check},
+      {"check", "-f FILE", "Validate FILE without contacting control", check},
       {"get", "[KIND [NAME]]",
-       "Show objects with their indexes; KIND halls: as the command halls",
+       "Show objects with their indexes; 'get halls' equals the command halls",
        get},
       {"set", "KIND NAME FIELD=VALUE...",
-       "Set parameters of a template, account or other object", set},
+       "Set fields of a template, account or other object", set},
       {"delete", "KIND NAME", "Delete an object", remove},
       {"version", "roll-out|pause|resume|activate|withdraw MODEL@VERSION",
-       "Roll a version in or out", version},
-      {"versions", "", "Show versions, their ratings and roll-outs", versions},
+       "Roll out, pause, resume, activate or withdraw a version", version},
+      {"versions", "", "Show versions with their ratings and roll-out state",
+       versions},
       {"drain", "UPSTREAM|ENTRY",
-       "Let an upstream take no new work, or the balancer pass an entry by",
+       "Send no new requests to an upstream, or make an entry report not ready",
        drain},
-      {"undrain", "UPSTREAM|ENTRY", "Take a drain back", undrain},
-      {"status", "", "Show the control VMs", status},
+      {"undrain", "UPSTREAM|ENTRY", "Undo drain", undrain},
+      {"status", "", "Show the state of each control VM", status},
       {"nodes", "", "Show entries and sidecars with their leases", nodes},
-      {"bills", "", "Show totals by account, model and version", bills},
+      {"bills", "", "Show billed totals by account, model and version", bills},
       {"watch", "[--count N]", "Print objects as they change", watch},
-      {"remove-member", "ID", "Take a control VM out of the group",
+      {"remove-member", "ID", "Remove a control VM from the group",
        removeMember},
       {"quarantine", "",
-       "Show requests that go to no upstream, as upstreams ended under them",
+       "Show quarantined requests: upstreams crashed while processing them",
        quarantine},
-      {"release", "REQUEST", "Let a request out of quarantine", release},
-      {"halls", "", "Show data halls, and what still runs in evacuated ones",
-       halls},
+      {"release", "REQUEST", "Release a request from quarantine", release},
+      {"halls", "",
+       "Show data halls and what is still running in evacuated ones", halls},
       {"evacuate", "DATA-HALL",
-       "Let upstreams of a data hall take nothing new, what runs there ends",
+       "Send no new requests to a data hall; requests in flight finish",
        evacuate},
-      {"restore", "DATA-HALL", "Take an evacuation back", restore},
-      {"key", "[SECRET]", "Make a client's or operator's key and its digest",
+      {"restore", "DATA-HALL", "Undo evacuate", restore},
+      {"key", "[SECRET]",
+       "Generate a client or operator key, or use SECRET, and print its digest",
        key},
-      {"link-keys", "PREFIX", "Write a key pair for links between processes",
+      {"link-keys", "PREFIX",
+       "Generate the key pair for links: PREFIX.public and PREFIX.secret",
        linkKeys},
   };
   return Table;
--- a/ctl/config_file.cpp
+++ b/ctl/config_file.cpp
@@ -8,16 +8,18 @@
 
 namespace {
 
-// The catalog names an object "kind/name" and its fields "kind/name.field"; in
-// a file that is "kinds.name.field".
-std::string pathInFile(std::string_view Named) {
-  size_t Slash = Named.find('/');
+// Converts a path of the catalog, "kind/name.field", to the path of the same
+// field in a file, "kinds.name.field".
+std::string pathInFile(std::string_view CatalogPath) {
+  size_t Slash = CatalogPath.find('/');
   if (Slash == std::string_view::npos)
-    return std::string(Named);
-  return std::string(Named.substr(0, Slash)) + "s." +
-         std::string(Named.substr(Slash + 1));
+    return std::string(CatalogPath);
+  return std::string(CatalogPath.substr(0, Slash)) + "s." +
+         std::string(CatalogPath.substr(Slash + 1));
 }
 
+// Prefixes each line of \p Message, one fault, with the file and the line
+// number of the field that it names.
 std::string withLines(const config_file &File, std::string_view Message) {
   std::string Text;
   while (!Message.empty()) {
--- a/ctl/config_file.h
+++ b/ctl/config_file.h
@@ -1,7 +1,8 @@
 //===- config_file.h - Configuration files ----------------------*- C++ -*-===//
 //
-// A file of JSON with comments: "models", "templates", "accounts",
-// "upstreams", "services", "nodes", each an object from name to document.
+// A configuration file is JSON with comments. Its top-level members are object
+// kinds in the plural ("models", "templates", "accounts", "upstreams",
+// "services", "nodes"), each an object that maps names to documents.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,22 +15,25 @@
 
 namespace olivevalve {
 
+/// One object of a configuration file, not validated yet.
 struct file_object {
   object_key Key;
   json Document;
 };
 
+/// A parsed configuration file.
 struct config_file {
   std::string Path;
   std::vector<file_object> Objects;
-  field_lines Lines;
+  field_lines Lines; ///< Line of each field, for error messages.
 };
 
-/// Reads a file; an error names file, line and field.
+/// Reads and parses a file without checking its documents; an error names file,
+/// line and field.
 absl::StatusOr<config_file> loadConfigFile(const std::string &Path);
 
-/// Checks documents and references of all objects together; an error names
-/// file, line and field.
+/// Validates all documents, and the references between them, without contacting
+/// control; an error names file, line and field.
 absl::Status checkConfig(const config_file &File);
 
 } // namespace olivevalve
--- a/ctl/main.cpp
+++ b/ctl/main.cpp
@@ -20,18 +20,21 @@
                 std::string(Entry.Help).c_str());
   std::printf(
       "\nOptions:\n"
-      "  -c, --control ADDRESSES  operators' addresses of the control VMs, "
+      "  -c, --control ADDRESSES  operator addresses of the control VMs, "
       "IP:port,...\n"
-      "                           (or the variable OLIVEVALVE_CONTROL)\n"
-      "  -k, --key-file FILE      file with the operator's key (or the "
-      "variable OLIVEVALVE_KEY)\n"
+      "                           (default: $OLIVEVALVE_CONTROL)\n"
+      "  -k, --key-file FILE      file with the operator key (default: the key "
+      "in\n"
+      "                           $OLIVEVALVE_KEY)\n"
       "  -o, --output table|json\n"
       "  -f, --file FILE\n"
-      "      --change-id ID       resend a change under the id it had\n"
+      "      --change-id ID       send the change under this id; a retry "
+      "under\n"
+      "                           the same id is applied only once\n"
       "      --timeout SECONDS    default 30\n"
       "      --count N            watch: stop after N changes\n\n"
-      "Exit codes: 0 good, 1 refused, 2 wrong use, 3 conflict with another "
-      "change,\n4 no control VM answered in time.\n");
+      "Exit codes: 0 success, 1 refused or failed, 2 invalid usage, 3 conflict "
+      "with\nanother change, 4 no control VM answered in time.\n");
 }
 
 void printCommandHelp(const command_entry &Entry) {
@@ -47,13 +50,14 @@
   return nullptr;
 }
 
+// Copies an option's text, empty if null, and frees it.
 std::string takeText(char *Text) {
   std::string Out = Text ? Text : "";
   std::free(Text);
   return Out;
 }
 
-/// What the command line said; Error is empty if it was right.
+/// The parsed command line; Error is empty if it is valid.
 struct parsed_line {
   command_options Options;
   std::string Command;
@@ -137,7 +141,7 @@
   if (Line.Error.empty() && !Command)
     Line.Error = Line.Command.empty()
                      ? "a command is required; see --help"
-                     : Line.Command + ": no such command; see --help";
+                     : Line.Command + ": unknown command; see --help";
   if (Line.Error.empty() && needsControl(Line.Command) &&
       Line.Options.Client.Control.empty())
     Line.Error = "--control IP:port or OLIVEVALVE_CONTROL is required";
--- a/ctl/operator_client.cpp
+++ b/ctl/operator_client.cpp
@@ -10,11 +10,13 @@
 
 namespace {
 
+// Wait after all control VMs have been tried.
 constexpr double PauseSeconds = 0.2;
-// Longer than the longest time to be in force, with an election before it.
+// Timeout of one call. Longer than an election and the longest time that
+// control takes to answer a change, which it does once the change is in effect.
 constexpr double CallSeconds = 12;
-// A VM that runs says within milliseconds who it is; one that stands still is
-// left after this.
+// Timeout of a status request. A healthy control VM answers within
+// milliseconds; one that hangs is skipped after this time.
 constexpr double ProbeSeconds = 1;
 constexpr const char *StatusPath = "/v1/status";
 
@@ -63,7 +65,7 @@
 bool operator_client::mayLead(const std::string &Address) {
   reply Reply = callOnce(Address, "GET", StatusPath, "", ProbeSeconds);
   json Status = json::parse(Reply.Body, nullptr, false);
-  // What is wrong with the call itself is for the call to tell.
+  // Other errors, such as a wrong key, are left to the actual call to report.
   if (Reply.Status != 200 || !Status.is_object())
     return Reply.Status != 0;
   return Status.value("leads", false);
@@ -72,16 +74,16 @@
 absl::StatusOr<json> operator_client::call(const std::string &Method,
                                            const std::string &Path,
                                            const std::string &Body) {
-  double Until = steadySeconds() + Options.TimeoutSeconds;
-  std::string Last = "no control VM answers";
-  while (steadySeconds() < Until) {
+  double Deadline = steadySeconds() + Options.TimeoutSeconds;
+  std::string LastError = "no control VM answered";
+  while (steadySeconds() < Deadline) {
     const std::string &Address = Options.Control[Current];
     if (Path != StatusPath && !mayLead(Address)) {
-      Last = Address + ": does not answer or does not lead";
-      moveOn();
+      LastError = Address + ": does not answer or is not the leader";
+      selectNext();
       continue;
     }
-    double Left = std::min(CallSeconds, Until - steadySeconds());
+    double Left = std::min(CallSeconds, Deadline - steadySeconds());
     reply Reply = callOnce(Address, Method, Path, Body, Left);
     json Value = json::parse(Reply.Body, nullptr, false);
     if (Reply.Status == 200 && !Value.is_discarded())
@@ -91,21 +93,21 @@
     error_kind Kind = kindForCode(Code);
     std::string Message =
         HasError ? Value["error"].value("message", "") : Reply.Body;
-    bool Again = Reply.Status == 0 || Kind == error_kind::NotLeader ||
+    bool Retry = Reply.Status == 0 || Kind == error_kind::NotLeader ||
                  Kind == error_kind::NoQuorum;
-    if (!Again)
+    if (!Retry)
       return makeError(Kind, Message);
     if (HasError)
-      Last = Address + ": " + Message;
-    moveOn();
+      LastError = Address + ": " + Message;
+    selectNext();
   }
-  return makeError(
-      error_kind::NoQuorum,
-      absl::StrCat("no answer within ", Options.TimeoutSeconds, " s: ", Last));
+  return makeError(error_kind::NoQuorum,
+                   absl::StrCat("no answer within ", Options.TimeoutSeconds,
+                                " s: ", LastError));
 }
 
-// After each round a pause, in which a leader may be found.
-void operator_client::moveOn() {
+// The pause after each full round gives an election time to finish.
+void operator_client::selectNext() {
   Current = (Current + 1) % Options.Control.size();
   if (Current != 0)
     return;
--- a/ctl/table.h
+++ b/ctl/table.h
@@ -9,13 +9,14 @@
 
 namespace olivevalve {
 
-/// One column: its heading and the member of each row it shows.
+/// One column: its heading and the member of each row that it shows.
 struct table_column {
   std::string Heading;
   std::string Member;
 };
 
-/// \p Rows is an array of objects.
+/// Formats an array of JSON objects as a table with a heading and one line for
+/// each row; a member that a row lacks is shown as "-".
 std::string formatTable(const json &Rows,
                         const std::vector<table_column> &Columns);
 
--- a/daemon/main.cpp
+++ b/daemon/main.cpp
@@ -14,7 +14,7 @@
 
 constexpr int ExitUsage = 2;
 
-// A file that changes without a signal is noticed within this.
+// A changed settings file is reloaded within this time, even without SIGHUP.
 constexpr double SettingsPollSeconds = 2;
 
 struct arguments {
@@ -22,13 +22,14 @@
   bool Check = false;
 };
 
-/// The file named by the environment variable \p Name, or null.
+/// Value of the environment variable \p Name, a path, as a new C string; null
+/// if it is unset or empty.
 char *fileFromEnvironment(const char *Name) {
   const char *Path = Name ? std::getenv(Name) : nullptr;
   return Path && *Path ? strdup(Path) : nullptr;
 }
 
-// Exits with a message when the command line is wrong.
+// Exits with ExitUsage and a message if the command line is invalid.
 arguments readArguments(int Count, const char **Values) {
   char *Path = nullptr;
   char *Variable = nullptr;
@@ -36,7 +37,7 @@
   const poptOption Table[] = {
       {"settings", 's', POPT_ARG_STRING, &Path, 0, "Settings file", "FILE"},
       {"check", 0, POPT_ARG_STRING, &Path, 'c',
-       "Only check FILE and say what is wrong", "FILE"},
+       "Check FILE, report all errors and exit", "FILE"},
       {"settings-env", 0, POPT_ARG_STRING, &Variable, 0,
        "Environment variable that holds the path of the settings file", "NAME"},
       POPT_AUTOHELP POPT_TABLEEND};
@@ -67,7 +68,7 @@
   return ExitUsage;
 }
 
-/// Reads the settings file again when it is told to or the file has changed.
+/// Reloads the settings file on SIGHUP and when the file has changed.
 class settings_watch {
 public:
   settings_watch(struct ev_loop *Loop, node &Node, std::string NewPath)
@@ -88,15 +89,16 @@
     ev_stat_start(Loop, &File);
     ev_signal_start(Loop, &Hangup);
   }
-  // The signal stays taken, as the loop does not run any more: a watcher that
-  // is stopped gives it back its default action for a moment, which ended 6 of
-  // 10 processes that got a series of them while they stopped.
+  // The SIGHUP watcher is left running on purpose; the loop no longer runs, so
+  // it has no effect. Stopping it would restore the default action of SIGHUP
+  // for a moment: that killed 6 of 10 processes that received a series of
+  // SIGHUPs while they exited.
   ~settings_watch() { ev_stat_stop(Loop, &File); }
   settings_watch(const settings_watch &) = delete;
   settings_watch &operator=(const settings_watch &) = delete;
 
 private:
-  // A file that is not good changes nothing: the process runs on.
+  // An invalid file is logged and ignored; the present settings stay in effect.
   void reload() {
     auto Settings = loadSettings(Path);
     if (Settings.ok())
@@ -119,8 +121,8 @@
 } // namespace
 
 int main(int Count, const char **Values) {
-  // Ends a process that does not handle it yet. The settings are about to be
-  // read anyhow.
+  // A SIGHUP would kill the process until its handler is installed. Ignoring it
+  // until then loses nothing, as the settings are about to be read.
   std::signal(SIGHUP, SIG_IGN);
   arguments Arguments = readArguments(Count, Values);
   auto Settings = loadSettings(Arguments.Settings);
@@ -130,12 +132,13 @@
   if (!Keys.ok())
     return fail(Keys.status());
   if (Arguments.Check) {
-    std::printf("%s: good; roles: %s\n", Arguments.Settings.c_str(),
+    std::printf("%s: valid; roles: %s\n", Arguments.Settings.c_str(),
                 Settings->roles().c_str());
     return 0;
   }
   std::signal(SIGPIPE, SIG_IGN);
-  // A limit on file sizes is a failed write like any other.
+  // With SIGXFSZ ignored, a write beyond the file size limit fails with EFBIG
+  // and is handled like any failed write.
   std::signal(SIGXFSZ, SIG_IGN);
   curl_global_init(CURL_GLOBAL_DEFAULT);
   startLog({Settings->Node, Settings->roles(), Settings->DataHall},
--- a/daemon/node.cpp
+++ b/daemon/node.cpp
@@ -9,12 +9,11 @@
 namespace {
 
 constexpr double DrainPollSeconds = 0.05;
-// Between two accounts in the log of the bytes of each kind: a dozen short
-// lines.
+// Interval between logs of link traffic, about a dozen short lines each.
 constexpr double TrafficLogSeconds = 10;
 constexpr std::string_view BytesSuffix = "_bytes";
-// Time for last messages to leave.
-constexpr double EndSeconds = 0.1;
+// Lets the last outgoing messages be sent before the event loop ends.
+constexpr double FlushSeconds = 0.1;
 
 } // namespace
 
@@ -27,7 +26,7 @@
              }),
       TrafficTimer(Loop, [this] { logTraffic(); }),
       DrainTimer(Loop, [this] { checkDrain(); }),
-      EndTimer(Loop, [this] { ev_break(this->Loop, EVBREAK_ALL); }) {}
+      ExitTimer(Loop, [this] { ev_break(this->Loop, EVBREAK_ALL); }) {}
 
 absl::Status node::start() {
   auto Bind = [](bool Good, std::string_view What, const std::string &Address) {
@@ -91,7 +90,7 @@
     return Exchange->reply(ready() ? 200 : 503, "text/plain",
                            ready() ? "ready\n" : "not ready\n");
   if (Path == "/metrics")
-    countTraffic();
+    updateTrafficMetrics();
   if (Path == "/metrics")
     return Exchange->reply(200, "text/plain; version=0.0.4",
                            Metrics.prometheusText());
@@ -107,7 +106,7 @@
                   "known: /healthz /readyz /metrics, PUT /log-level\n");
 }
 
-void node::countTraffic() {
+void node::updateTrafficMetrics() {
   for (size_t Kind = 0; Kind < link_traffic::Kinds; ++Kind) {
     const kind_traffic &Traffic = Context.traffic().ByKind[Kind];
     if (Traffic.SentMessages + Traffic.ReceivedMessages == 0)
@@ -121,14 +120,15 @@
   Metrics.setCount("link_malformed", "", Context.traffic().Malformed);
 }
 
-// What a reader needs who asks where the bytes of a link went.
+// Logs every byte counter that is not zero, so that the log alone shows which
+// kinds of message account for the traffic of a link.
 void node::logTraffic() {
-  countTraffic();
+  updateTrafficMetrics();
   Metrics.eachCount([](std::string_view Counter, std::string_view Label,
                        uint64_t Value) {
     if (Value > 0 && Counter.ends_with(BytesSuffix))
       logLine(
-          log_level::Info, "bytes since the start",
+          log_level::Info, "bytes since process start",
           {{"counter", Counter}, {"kind", Label}, {"bytes", int64_t(Value)}});
   });
 }
@@ -149,8 +149,9 @@
   checkDrain();
 }
 
-// Only what other VMs decide changes while a process runs; its own addresses
-// and folder are fixed until its next start.
+// Applies the log level, the addresses of other control VMs and the drain
+// times. The addresses that the process listens on and its data folder are
+// fixed until its next start.
 void node::reload(const settings &Changed) {
   setLogLevel(Changed.LogLevel);
   if (Gateway && Changed.Gateway)
@@ -174,21 +175,23 @@
     Control->drain();
 }
 
-// Control goes last: the other roles hand their bills to it.
+// All roles must have drained, control too: the other roles hand their bills to
+// it.
 void node::checkDrain() {
   double Now = steadySeconds();
   if (!Refusing && Now >= RefuseAt)
     beginDrain();
   if (!Refusing)
     return;
-  bool Over = Now >= DrainUntil;
+  bool TimedOut = Now >= DrainUntil;
   bool Done =
       (!Entry || Entry->drained()) && (!Gateway || Gateway->drained()) &&
       (!Sidecar || Sidecar->drained()) && (!Control || Control->drained());
-  if (!Done && !Over)
+  if (!Done && !TimedOut)
     return;
-  if (Over)
-    logLine(log_level::Warning, "drain_seconds are over, work is cut");
+  if (TimedOut)
+    logLine(log_level::Warning,
+            "drain_seconds exceeded; aborting requests in flight");
   DrainTimer.stop();
   end();
 }
@@ -201,7 +204,7 @@
   if (Gateway)
     Gateway->abortRequests();
   logLine(log_level::Info, "stopped");
-  EndTimer.startOnce(EndSeconds);
+  ExitTimer.startOnce(FlushSeconds);
 }
 
 } // namespace olivevalve
--- a/daemon/node.h
+++ b/daemon/node.h
@@ -1,8 +1,10 @@
 //===- node.h - One process with its roles ----------------------*- C++ -*-===//
 //
-// Starts the roles that the settings name, serves health and metrics, and
-// stops in order: not ready, no new work once the balancer has noticed, running
-// work ends, bills are handed over, the lease is given up.
+// Starts the roles that the settings name and serves health checks and metrics.
+// A planned stop has four steps: /readyz reports not ready while requests are
+// still accepted, so that the balancer can take the process out; new requests
+// are then refused; requests in flight finish and bills are handed over to
+// control; last, the lease is released.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,21 +16,26 @@
 
 namespace olivevalve {
 
+/// One process: the configured roles, their shared link context and metrics,
+/// and the health server. Runs on the given event loop, which must outlive it.
 class node {
 public:
   node(struct ev_loop *Loop, const settings &Settings, link_keys Keys);
 
+  /// Binds all addresses and starts the roles. The error names the setting
+  /// whose address cannot be bound.
   absl::Status start();
-  /// The first call begins a planned stop, the second ends at once.
+  /// The first call begins a planned stop; a second one exits at once.
   void stop();
-  /// Takes over what a changed settings file may change while running.
+  /// Applies the settings that may change at run time; ignores all others.
   void reload(const settings &Changed);
-  /// What the process should exit with.
+  /// Exit code of the process: 0 after a planned stop, 3 after a failure of
+  /// control, 4 if a second stop cut the first one short.
   int exitCode() const { return ExitCode; }
 
 private:
   void handleHealth(const std::shared_ptr<http_exchange> &Exchange);
-  void countTraffic();
+  void updateTrafficMetrics();
   void logTraffic();
   bool ready() const;
   void beginDrain();
@@ -47,10 +54,12 @@
   http_server Health;
   timer TrafficTimer;
   timer DrainTimer;
-  timer EndTimer;
+  timer ExitTimer;
   bool Stopping = false;
-  bool Refusing = false; ///< The entry takes nothing new any more.
+  bool Refusing = false; ///< All roles refuse new work.
+  /// Steady time in seconds at which a planned stop begins to refuse new work.
   double RefuseAt = 0;
+  /// Steady time in seconds at which a planned stop gives up on running work.
   double DrainUntil = 0;
   int ExitCode = 0;
 };
--- a/daemon/settings.cpp
+++ b/daemon/settings.cpp
@@ -12,6 +12,7 @@
 
 namespace {
 
+// Length of a CURVE key in Z85 text.
 constexpr size_t KeyCharacters = 40;
 
 bool isAddress(const std::string &Text) {
@@ -27,7 +28,8 @@
          Port <= 65535;
 }
 
-/// Reads addresses and sees that none is used twice in one file.
+/// Reads addresses and reports one that is used twice in the same file. Port 0
+/// may repeat, as the system then assigns a free port.
 class address_reader {
 public:
   void read(object_reader &Reader, std::string_view Key, std::string &Out,
@@ -94,8 +96,8 @@
   return Sidecar;
 }
 
-// Some control VMs by where operators call them; all listen for nodes and for
-// each other at one port.
+// Reads the operator addresses of some control VMs. All control VMs listen for
+// nodes and for each other at the same port, given as "port".
 std::vector<control_peer> readSeeds(object_reader &Reader) {
   std::vector<control_peer> Seeds;
   std::vector<std::string> Addresses;
@@ -110,22 +112,24 @@
                    "holds '" + Address + "', must hold IP:port");
       continue;
     }
-    std::string Inner =
+    std::string LinkAddress =
         absl::StrCat(Address.substr(0, Address.rfind(':') + 1), Port);
-    Seeds.push_back({controlIdOf(Inner), Inner});
+    Seeds.push_back({controlIdOf(LinkAddress), LinkAddress});
   }
   return Seeds;
 }
 
-// A listed control VM has a number and stands in control_members; one that is
-// known by its address alone finds the others through seeds.
-void readPlace(object_reader &Reader, address_reader &Addresses,
-               const std::vector<control_peer> &Members, bool BySeeds,
-               control_options &Control) {
+// Reads the id, address and voter count of a control VM. With control_members,
+// the id is set and selects the address from that list; with control_seeds, the
+// address is set, the id derives from it, and the other control VMs are found
+// through the seeds.
+void readIdentity(object_reader &Reader, address_reader &Addresses,
+                  const std::vector<control_peer> &Members, bool HasSeeds,
+                  control_options &Control) {
   int64_t Id = 0;
   int64_t Losses = 1;
   int64_t Voters = int64_t(std::max<size_t>(1, Members.size()));
-  if (BySeeds) {
+  if (HasSeeds) {
     Addresses.read(Reader, "address", Control.Address, presence::Required);
     Reader.integer("tolerated_losses", Losses, {0, 4});
     Reader.flag("may_start_group", Control.Log.MayBootstrap);
@@ -141,24 +145,23 @@
     if (Member.Id == Control.Log.Id)
       Control.Address = Member.Address;
   if (Control.Address.empty())
-    Reader.fault("id", "is not in control_members");
+    Reader.fault("id", "is not the id of any member in control_members");
 }
 
 control_options readControl(object_reader &Reader, address_reader &Addresses,
                             const std::vector<control_peer> &Members,
-                            bool BySeeds) {
+                            bool HasSeeds) {
   control_options Control;
   int64_t SnapshotBytes = int64_t(Control.Log.SnapshotBytes);
   int64_t MaxConcurrentLoads = int64_t(Control.MaxConcurrentLoads);
-  readPlace(Reader, Addresses, Members, BySeeds, Control);
+  readIdentity(Reader, Addresses, Members, HasSeeds, Control);
   Addresses.read(Reader, "operator_address", Control.OperatorAddress,
                  presence::Required);
   Reader.texts("operator_key_digests", Control.OperatorKeyDigests);
   Reader.text("data_folder", Control.Log.Folder, presence::Required);
   Addresses.read(Reader, "upstream_list", Control.UpstreamListAddress,
                  presence::Optional);
-  Reader.number("replace_after_seconds", Control.Log.ReplaceAfterSeconds,
-                {1, 86400});
+  Reader.number("replace_after_seconds", Control.Log.ReplaceAfterSeconds, {1, 86400});
   Reader.integer("snapshot_bytes", SnapshotBytes, {1024, 1 << 30});
   Reader.integer("loads_at_once", MaxConcurrentLoads, {1, 1000});
   Control.Log.Address = Control.Address;
@@ -200,9 +203,10 @@
   while (!Text->empty() && std::isspace(uint8_t(Text->back())))
     Text->pop_back();
   if (Text->size() != KeyCharacters)
-    return makeError(error_kind::BadConfiguration,
-                     Path + ": must hold one key of 40 characters, as written "
-                            "by 'olivevalvectl link-keys'");
+    return makeError(
+        error_kind::BadConfiguration,
+        Path + ": must hold exactly one key of 40 characters, as written "
+               "by 'olivevalvectl link-keys'");
   return Text;
 }
 
@@ -244,9 +248,9 @@
   Settings.LogLevel = log_level(Level);
   Reader.number("drain_seconds", Settings.DrainSeconds, {1, 86400});
   Reader.number("unready_seconds", Settings.UnreadySeconds, {0, 600});
-  bool BySeeds = Reader.has("control_seeds");
+  bool HasSeeds = Reader.has("control_seeds");
   std::vector<control_peer> Members;
-  if (BySeeds)
+  if (HasSeeds)
     Reader.object("control_seeds",
                   [&](object_reader &Seeds) { Members = readSeeds(Seeds); });
   else
@@ -264,18 +268,19 @@
     Settings.Sidecar = readSidecar(Sidecar, Addresses);
   });
   Reader.object("control", [&](object_reader &Control) {
-    Settings.Control = readControl(Control, Addresses, Members, BySeeds);
+    Settings.Control = readControl(Control, Addresses, Members, HasSeeds);
   });
   Reader.object("gateway", [&](object_reader &Gateway) {
     Settings.Gateway = readGateway(Gateway, Addresses);
   });
   Reader.finish();
   if (Settings.roles().empty())
-    Faults.add("document",
-               "must have a role: entry, sidecar, gateway or control");
-  if (BySeeds && (Settings.Entry || Settings.Sidecar))
+    Faults.add(
+        "document",
+        "must have a role: at least one of entry, sidecar, gateway, control");
+  if (HasSeeds && (Settings.Entry || Settings.Sidecar))
     Faults.add("control_seeds",
-               "entries and sidecars need control_members instead");
+               "not supported for entry and sidecar; use control_members");
   if (!Faults.empty())
     return makeError(error_kind::BadConfiguration,
                      Faults.textOf(Path, field_lines(*Text)));
@@ -305,12 +310,12 @@
   link_keys Keys;
   if (!Settings.Keys)
     return Keys;
-  struct wanted {
+  struct key_target {
     const std::string &Path;
     std::string &Out;
   };
-  for (wanted Each : {wanted{Settings.Keys->Public, Keys.PublicKey},
-                      wanted{Settings.Keys->Secret, Keys.SecretKey}}) {
+  for (key_target Each : {key_target{Settings.Keys->Public, Keys.PublicKey},
+                          key_target{Settings.Keys->Secret, Keys.SecretKey}}) {
     auto Key = readKey(Each.Path);
     if (!Key.ok())
       return Key.status();
--- a/daemon/settings.h
+++ b/daemon/settings.h
@@ -13,35 +13,42 @@
 
 namespace olivevalve {
 
-/// Files that hold the system's key pair; see 'olivevalvectl link-keys'.
+/// Paths of the files with the key pair that encrypts links between processes;
+/// 'olivevalvectl link-keys' writes them.
 struct key_files {
   std::string Public;
   std::string Secret;
 };
 
+/// Contents of a settings file. A role runs if its options are present.
 struct settings {
-  std::string Node;
+  std::string Node; ///< Name of this process.
   std::string DataHall;
-  std::string HealthAddress = "127.0.0.1:0"; ///< /healthz, /readyz, /metrics.
+  /// Address of /healthz, /readyz, /metrics and /log-level.
+  std::string HealthAddress = "127.0.0.1:0";
   log_level LogLevel = log_level::Info;
-  double DrainSeconds = 300; ///< Longest planned stop.
-  /// An entry that is to stop says for so long that it is not ready and still
-  /// serves: until the balancer, which asks now and then, sends it nothing.
+  /// Bounds a planned stop, counted from when new work is refused.
+  double DrainSeconds = 300;
+  /// An entry or gateway that begins a planned stop reports not ready for this
+  /// time and still accepts requests, until the balancer, which polls /readyz
+  /// periodically, sends no more.
   double UnreadySeconds = 5;
-  std::optional<key_files> Keys;
+  std::optional<key_files> Keys; ///< Links are not encrypted without keys.
   std::optional<entry_options> Entry;
   std::optional<sidecar_options> Sidecar;
   std::optional<control_options> Control;
   std::optional<gateway_options> Gateway;
 
+  /// Names of the roles that are present, joined by '+'.
   std::string roles() const;
 };
 
-/// Reads and checks a whole file; the error lists every fault with file and
-/// field.
+/// Reads and validates a settings file. The error lists every fault with file,
+/// line and field.
 absl::StatusOr<settings> loadSettings(const std::string &Path);
 
-/// The keys themselves; an error names the file. Empty without key files.
+/// Reads the key files; an error names the file. Both keys are empty if the
+/// settings name no key files.
 absl::StatusOr<link_keys> loadKeys(const settings &Settings);
 
 } // namespace olivevalve
--- a/tests/system/stops_test.cpp
+++ b/tests/system/stops_test.cpp
@@ -188,7 +188,7 @@
 
   ctl_result Wrong = World.ctl({"drain", "nobody"});
   BOOST_TEST(Wrong.ExitCode == 1);
-  BOOST_TEST(Wrong.Text.find("nobody: is no upstream and no entry") !=
+  BOOST_TEST(Wrong.Text.find("nobody: neither an upstream nor an entry") !=
                  std::string::npos,
              Wrong.Text);
 }
