--- a/tests/consensus_test.cpp
+++ b/tests/consensus_test.cpp
@@ -1,4 +1,8 @@
-//===- consensus_test.cpp - Agreement of the control VMs ------------------===//
+//===- consensus_test.cpp - Consensus of the control VMs ------------------===//
+//
+// Tests the Raft core, its storage, and groups of cores under random faults.
+// OLIVEVALVE_SEEDS sets the number of random schedules.
+//
 
 #define BOOST_TEST_MODULE consensus
 #include "base/error.h"
@@ -15,7 +19,7 @@
 
 namespace {
 
-// One core that is the only voter, driven by hand.
+// Returns a core that is the group's only voter.
 raft_core singleVoter() {
   raft_core Core({.Id = 1, .Disk = 7}, {}, 100);
   Core.bootstrap("g", 100);
@@ -38,7 +42,8 @@
   return Message;
 }
 
-// A follower of a group of three with three entries of term 2.
+// Returns the durable state of a follower in a group of three, with three
+// entries of term 2. The disk of member N has the identity 10 * N.
 raft_durable_state followerDisk() {
   wire::member_list Members;
   for (uint64_t Id : {1, 2, 3}) {
@@ -60,16 +65,16 @@
   return Durable;
 }
 
-uint64_t exploredSeeds() {
+uint64_t seedCount() {
   const char *Text = std::getenv("OLIVEVALVE_SEEDS");
   return Text ? std::strtoull(Text, nullptr, 10) : 400;
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(a_core)
+BOOST_AUTO_TEST_SUITE(consensus_core)
 
-BOOST_AUTO_TEST_CASE(alone_leads_and_commits_once_synced) {
+BOOST_AUTO_TEST_CASE(single_voter_leads_and_commits_once_synced) {
   raft_core Core = singleVoter();
   BOOST_TEST(Core.isLeader());
   auto Index = Core.propose("hello");
@@ -87,20 +92,21 @@
   uint64_t Term;
   uint64_t LastIndex;
   uint64_t LastTerm;
-  double After; ///< Seconds since the last word of a leader.
+  double
+      After; ///< Seconds since the start, which counts as a leader's message.
   bool Granted;
 };
 
-BOOST_AUTO_TEST_CASE(grants_votes_only_as_the_table_says) {
+BOOST_AUTO_TEST_CASE(grants_votes_only_to_voters_with_current_logs) {
   const vote_case Cases[] = {
       {"an equal log", 2, 20, 3, 3, 2, 5, true},
       {"a longer log", 2, 20, 3, 9, 2, 5, true},
       {"a shorter log", 2, 20, 3, 2, 2, 5, false},
       {"an older last term", 2, 20, 3, 9, 1, 5, false},
       {"an older term", 2, 20, 1, 9, 2, 5, false},
-      {"a leader was heard just now", 2, 20, 3, 3, 2, 0.5, false},
-      {"a voter's number with another disk", 2, 99, 3, 3, 2, 5, false},
-      {"a stranger", 4, 40, 3, 3, 2, 5, false},
+      {"a leader was active just now", 2, 20, 3, 3, 2, 0.5, false},
+      {"a voter's id with another disk", 2, 99, 3, 3, 2, 5, false},
+      {"not a member", 4, 40, 3, 3, 2, 5, false},
   };
   for (const vote_case &Case : Cases) {
     BOOST_TEST_CONTEXT(Case.What) {
@@ -123,17 +129,18 @@
 
 namespace {
 
-wire::raft replyTo(const wire::raft &Asked, wire::raft::raft_purpose Purpose) {
+wire::raft replyTo(const wire::raft &Message,
+                   wire::raft::raft_purpose Purpose) {
   wire::raft Reply;
   Reply.set_purpose(Purpose);
   Reply.set_group("g");
-  Reply.set_from(Asked.to());
-  Reply.set_to(Asked.from());
-  Reply.set_disk(Asked.to() * 10);
-  Reply.set_term(Asked.term());
-  Reply.set_sent_at(Asked.sent_at());
+  Reply.set_from(Message.to());
+  Reply.set_to(Message.from());
+  Reply.set_disk(Message.to() * 10);
+  Reply.set_term(Message.term());
+  Reply.set_sent_at(Message.sent_at());
   Reply.set_granted(true);
-  Reply.set_log_index(Asked.log_index() + uint64_t(Asked.entries_size()));
+  Reply.set_log_index(Message.log_index() + uint64_t(Message.entries_size()));
   return Reply;
 }
 
@@ -144,17 +151,18 @@
   return Sum;
 }
 
-/// A leader of three whose follower 2 answers all and whose follower 3 does
-/// what the test says.
-class leader_of_three {
+/// The leader of a group of three. Follower 2 replies to every message; the
+/// test replies for follower 3.
+class leader_with_followers {
 public:
-  leader_of_three() : Core({.Id = 1, .Disk = 10}, followerDisk(), 100) {
+  leader_with_followers() : Core({.Id = 1, .Disk = 10}, followerDisk(), 100) {
     Core.tick(Now += 3);
     turn();
     BOOST_REQUIRE(Core.isLeader());
   }
 
-  /// Writes, sends and hears the answers of follower 2.
+  /// Syncs and sends the core's output, and handles the replies of follower 2,
+  /// until there is no more output.
   void turn() {
     for (;;) {
       raft_output Output = Core.takeOutput();
@@ -166,17 +174,17 @@
       if (Sent.empty())
         return;
       for (const wire::raft &Message : Sent)
-        carry(Message);
+        deliver(Message);
     }
   }
 
   raft_core Core;
   double Now = 100;
-  std::vector<wire::raft> ToThird; ///< Appends, not answered by themselves.
-  size_t ThirdBytes = 0;
+  std::vector<wire::raft> ToThird; ///< APPEND messages sent to follower 3.
+  size_t ThirdBytes = 0;           ///< Entry data sent to follower 3.
 
 private:
-  void carry(const wire::raft &Message) {
+  void deliver(const wire::raft &Message) {
     using raft = wire::raft;
     if (Message.to() == 3) {
       if (Message.purpose() == raft::APPEND) {
@@ -196,15 +204,15 @@
 
 } // namespace
 
-// A control VM that is slow or cut off while large changes come in quick
-// succession: what waits for it at the leader has a bound in bytes, however
-// many changes there are and however often it says that it lacks some. Without
-// it the leader held each change once more for every follower that did not
-// read, on VMs of 256 MB.
-BOOST_AUTO_TEST_CASE(holds_a_bounded_number_of_bytes_for_a_slow_follower) {
+// Guards against the leader's memory use growing without bound while a follower
+// is slow or cut off and large changes follow quickly. Without a limit in bytes
+// the leader queued a copy of each change for each follower that did not read,
+// on VMs of 256 MB. The limit must also hold if the follower rejects many
+// messages.
+BOOST_AUTO_TEST_CASE(limits_bytes_queued_for_a_slow_follower) {
   constexpr size_t Large = 400 << 10;
-  constexpr size_t Most = 4 << 20;
-  leader_of_three Leader;
+  constexpr size_t MaxBytes = 4 << 20;
+  leader_with_followers Leader;
   for (int I = 0; I < 100; ++I) {
     BOOST_REQUIRE(Leader.Core.propose(std::string(Large, 'x')).has_value());
     Leader.turn();
@@ -212,13 +220,13 @@
     Leader.turn();
   }
   BOOST_TEST(Leader.Core.commitIndex() == Leader.Core.lastIndex());
-  BOOST_TEST(Leader.ThirdBytes <= Most);
+  BOOST_TEST(Leader.ThirdBytes <= MaxBytes);
 
-  // It answers all that it was sent while it was away, each time lacking the
-  // same: one new batch comes of it, not one for each answer.
-  std::vector<wire::raft> Asked = std::move(Leader.ToThird);
+  // Follower 3 rejects all messages sent so far, each time with the same last
+  // index. The leader must send one new batch, not one per rejection.
+  std::vector<wire::raft> Rejected = std::move(Leader.ToThird);
   Leader.ThirdBytes = 0;
-  for (const wire::raft &Message : Asked) {
+  for (const wire::raft &Message : Rejected) {
     wire::raft Reply = replyTo(Message, wire::raft::APPEND_REPLY);
     Reply.set_granted(false);
     Reply.set_log_index(3);
@@ -226,9 +234,9 @@
     Leader.turn();
   }
   BOOST_TEST(Leader.ThirdBytes > 0U);
-  BOOST_TEST(Leader.ThirdBytes <= Most);
+  BOOST_TEST(Leader.ThirdBytes <= MaxBytes);
 
-  // Then it takes all, and catches up.
+  // Then follower 3 accepts all messages and must catch up.
   uint64_t Held = 3;
   for (size_t I = 0; I < Leader.ToThird.size(); ++I) {
     wire::raft Message = Leader.ToThird[I];
@@ -249,7 +257,7 @@
   BOOST_TEST(Held == Leader.Core.lastIndex());
 }
 
-BOOST_AUTO_TEST_CASE(votes_once_a_term) {
+BOOST_AUTO_TEST_CASE(votes_once_per_term) {
   raft_core Core({.Id = 1, .Disk = 10}, followerDisk(), 100);
   Core.step(vote(2, 20, 3, 3, 2), 105);
   Core.takeOutput();
@@ -258,7 +266,7 @@
     BOOST_TEST(!Reply.granted());
 }
 
-BOOST_AUTO_TEST_CASE(with_another_disk_never_stands_for_election) {
+BOOST_AUTO_TEST_CASE(never_campaigns_with_an_unknown_disk) {
   raft_core Core({.Id = 1, .Disk = 11}, followerDisk(), 100);
   for (double Now = 100; Now < 130; Now += 0.1)
     Core.tick(Now);
@@ -268,7 +276,7 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(the_storage)
+BOOST_AUTO_TEST_SUITE(durable_storage)
 
 void writeSome(const std::string &Folder, int Entries) {
   auto Storage = raft_storage::open(Folder);
@@ -286,7 +294,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(gives_back_what_was_synced) {
+BOOST_AUTO_TEST_CASE(restores_synced_state_when_reopened) {
   temporary_folder Folder;
   writeSome(Folder.path() + "/d", 20);
   auto Storage = raft_storage::open(Folder.path() + "/d");
@@ -297,14 +305,14 @@
   BOOST_TEST(Durable.Entries.size() == 20U);
 }
 
-BOOST_AUTO_TEST_CASE(keeps_its_identity_and_gives_a_new_disk_another) {
+BOOST_AUTO_TEST_CASE(keeps_its_identity_and_gives_a_new_disk_a_new_one) {
   temporary_folder Folder;
   uint64_t First = (*raft_storage::open(Folder.path() + "/a"))->disk();
   BOOST_TEST((*raft_storage::open(Folder.path() + "/a"))->disk() == First);
   BOOST_TEST((*raft_storage::open(Folder.path() + "/b"))->disk() != First);
 }
 
-BOOST_AUTO_TEST_CASE(is_held_by_one_process) {
+BOOST_AUTO_TEST_CASE(cannot_be_opened_twice) {
   temporary_folder Folder;
   auto First = raft_storage::open(Folder.path() + "/d");
   auto Second = raft_storage::open(Folder.path() + "/d");
@@ -314,16 +322,16 @@
 
 struct damage_case {
   const char *What;
-  double At;  ///< Place of the damage as a share of the file.
+  double At;  ///< Position of the damage as a fraction of the file size.
   bool Cut;   ///< Truncate there instead of changing a byte.
-  bool Zeros; ///< Zeros from there on.
-  bool Opens;
+  bool Zeros; ///< Overwrite the rest of the file with zeros.
+  bool Opens; ///< Expected: the storage opens without the damaged tail.
 };
 
-BOOST_AUTO_TEST_CASE(cuts_a_torn_tail_and_stops_at_a_damaged_middle) {
+BOOST_AUTO_TEST_CASE(truncates_a_torn_tail_and_rejects_a_corrupt_middle) {
   const damage_case Cases[] = {
-      {"last record cut short", 0.995, true, false, true},
-      {"half of the file gone", 0.5, true, false, true},
+      {"last record truncated", 0.995, true, false, true},
+      {"second half of the file missing", 0.5, true, false, true},
       {"last record changed", 0.995, false, false, true},
       {"zeros at the end", 0.99, false, true, true},
       {"a byte in the middle changed", 0.5, false, false, false},
@@ -358,11 +366,11 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_full_disk_is_an_error_and_not_a_crash) {
+BOOST_AUTO_TEST_CASE(reports_a_full_disk_as_an_error) {
   temporary_folder Folder;
   auto Storage = raft_storage::open(Folder.path() + "/d");
   BOOST_REQUIRE(Storage.ok());
-  // A limit on the size of files refuses writes as a full disk does.
+  // A limit on the file size makes writes fail, as on a full disk.
   std::signal(SIGXFSZ, SIG_IGN);
   rlimit Before{};
   getrlimit(RLIMIT_FSIZE, &Before);
@@ -376,7 +384,7 @@
   BOOST_TEST((kindOf(Status) == error_kind::StorageFailed));
 }
 
-BOOST_AUTO_TEST_CASE(a_snapshot_takes_the_place_of_the_log) {
+BOOST_AUTO_TEST_CASE(replaces_the_log_by_a_snapshot) {
   temporary_folder Folder;
   std::string Path = Folder.path() + "/d";
   writeSome(Path, 10);
@@ -403,9 +411,9 @@
 
 BOOST_AUTO_TEST_SUITE(random_schedules)
 
-BOOST_AUTO_TEST_CASE(keep_what_must_always_hold) {
+BOOST_AUTO_TEST_CASE(never_violate_the_safety_invariants) {
   explorer_result Sum;
-  uint64_t Seeds = exploredSeeds();
+  uint64_t Seeds = seedCount();
   for (uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
     explorer_result Result =
         explorer({.Seed = Seed, .Vms = Seed % 3 == 0 ? 5U : 3U}).run();
@@ -421,24 +429,25 @@
                      << Sum.Committed << ", crashes " << Sum.Crashes
                      << ", lost disks " << Sum.LostDisks << ", snapshots "
                      << Sum.Snapshots);
-  // A schedule in which nothing happens proves nothing.
+  // The schedules must exercise the protocol, or the checks prove nothing.
   BOOST_TEST(Sum.Leaders > 2 * Seeds);
   BOOST_TEST(Sum.Committed > 100 * Seeds);
   BOOST_TEST(Sum.LostDisks > Seeds / 2);
 }
 
-// With a mechanism off the same checks must fail, or they check nothing.
-BOOST_AUTO_TEST_CASE(find_the_fault_when_a_mechanism_is_off) {
-  struct off_case {
+// Guards against checks that cannot fail: each safety mechanism is disabled in
+// turn, and the explorer must find a violation.
+BOOST_AUTO_TEST_CASE(violate_an_invariant_if_a_mechanism_is_disabled) {
+  struct disabled_case {
     const char *What;
     explorer_options Options;
   };
-  const off_case Cases[] = {
-      {"votes not remembered", {.ForgetVotes = true}},
-      {"synced entries forgotten", {.ForgetEntries = true}},
-      {"a lost disk under its old name", {.KeepIdentity = true}},
+  const disabled_case Cases[] = {
+      {"votes lost in a crash", {.ForgetVotes = true}},
+      {"synced entries lost in a crash", {.ForgetEntries = true}},
+      {"an empty disk with the old identity", {.KeepIdentity = true}},
   };
-  for (const off_case &Case : Cases) {
+  for (const disabled_case &Case : Cases) {
     BOOST_TEST_CONTEXT(Case.What) {
       bool Found = false;
       for (uint64_t Seed = 1; Seed <= 2000 && !Found; ++Seed) {
--- a/tests/control_path.h
+++ b/tests/control_path.h
@@ -1,9 +1,9 @@
-//===- control_path.h - A narrow link between gateways and control -*- C++
-//-*-===//
+//===- control_path.h - Slow link between gateways and control --*- C++ -*-===//
 //
-// Carries messages between gateways and one control VM, one after the other at
-// a set speed or with a set delay, as a link does that others fill. Gateways
-// are told that it is the leader, so that they stay with it.
+// Forwards messages between gateways and one control VM. Messages to gateways
+// are sent in order with a limited bandwidth or a delay, as on a congested
+// link. Notices are rewritten so that the leader's address is that of this
+// path; otherwise gateways would connect to the leader directly.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,9 +19,10 @@
 
 namespace olivevalve {
 
+/// A message proxy in front of one control VM.
 class control_path {
 public:
-  /// \p Target: where the control VM listens.
+  /// \p Target: the address at which the control VM accepts nodes.
   control_path(struct ev_loop *Loop, std::string Target)
       : Loop(Loop), Target(std::move(Target)),
         Front(Context, Loop,
@@ -34,12 +35,12 @@
 
   std::string address() const { return Front.address(); }
 
-  double BytesPerSecond = 0; ///< Towards gateways; 0: no limit.
-  double DelaySeconds = 0;   ///< Towards gateways, of each message.
-  size_t Bytes = 0;          ///< That control has sent to gateways.
+  double BytesPerSecond = 0; ///< Bandwidth towards gateways; 0: no limit.
+  double DelaySeconds = 0;   ///< Delay of each message towards gateways.
+  size_t Bytes = 0;          ///< Size of all messages from control to gateways.
 
 private:
-  struct waiting {
+  struct queued_message {
     std::string Peer;
     wire::envelope Message;
     double DueAt = 0;
@@ -61,16 +62,16 @@
     size_t Size = Message.ByteSizeLong();
     Bytes += Size;
     if (Message.has_notice())
-      putInPlaceOfLeader(*Message.mutable_notice());
+      replaceLeaderAddress(*Message.mutable_notice());
     double Now = steadySeconds();
-    double Took = BytesPerSecond > 0 ? double(Size) / BytesPerSecond : 0;
-    FreeAt = std::max(FreeAt, Now) + Took;
+    double SendSeconds = BytesPerSecond > 0 ? double(Size) / BytesPerSecond : 0;
+    FreeAt = std::max(FreeAt, Now) + SendSeconds;
     Queue.push_back({Peer, std::move(Message), FreeAt + DelaySeconds});
     if (!Later.active())
       deliver();
   }
 
-  void putInPlaceOfLeader(wire::notice &Notice) const {
+  void replaceLeaderAddress(wire::notice &Notice) const {
     Notice.clear_control_vms();
     if (Notice.leader() == 0)
       return;
@@ -92,8 +93,8 @@
   link_context Context;
   server_link Front;
   std::map<std::string, std::unique_ptr<client_link>> Links; ///< By gateway.
-  std::deque<waiting> Queue;
-  double FreeAt = 0; ///< When the link has carried all that it was given.
+  std::deque<queued_message> Queue;                          ///< To gateways.
+  double FreeAt = 0; ///< When the link has transmitted all queued messages.
   timer Later;
 };
 
--- a/tests/explorer.cpp
+++ b/tests/explorer.cpp
@@ -1,4 +1,4 @@
-//===- explorer.cpp - Random schedules for the agreement ------------------===//
+//===- explorer.cpp - Random fault schedules for consensus ----------------===//
 
 #include "tests/explorer.h"
 #include "base/digest.h"
@@ -9,10 +9,13 @@
 namespace {
 
 constexpr double StepSeconds = 0.03;
-constexpr double MostDelay = 0.4;
-// Steps without faults at the start, for the group to form.
-constexpr int SettleSteps = 200;
-constexpr double MostDrift = 0.008;
+// Bound on a message's delay; duplicates take up to three times as long.
+constexpr double MaxDelaySeconds = 0.4;
+// Steps without faults at the start, in which the group forms.
+constexpr int FaultFreeSteps = 200;
+// Bound on how far the rate of a VM's clock differs from 1.
+constexpr double MaxRateError = 0.008;
+// The content of a snapshot, from which its state can be verified.
 std::string imageOf(uint64_t Index, uint64_t Hash) {
   return std::to_string(Index) + ":" + std::to_string(Hash);
 }
@@ -25,7 +28,7 @@
   for (size_t I = 0; I < Vms.size(); ++I) {
     Vms[I].Id = I + 1;
     Vms[I].Disk.Identity = NextIdentity++;
-    Vms[I].Rate = 1 + MostDrift * (2 * chance() - 1);
+    Vms[I].Rate = 1 + MaxRateError * (2 * chance() - 1);
     Vms[I].Offset = 1000 * chance();
     startVm(Vms[I]);
   }
@@ -90,8 +93,9 @@
   }
 }
 
-// Takes what the core wants done. A crash may come after the write and before
-// the sync: then the disk keeps what was synced before.
+// Executes the core's output: writes, syncs, sends and applies. The VM may
+// crash after the write and before the sync; the disk then keeps only what was
+// synced before.
 void explorer::pump(vm &Vm) {
   for (;;) {
     raft_output Output = Vm.Core->takeOutput();
@@ -122,11 +126,11 @@
   if (Output.Install) {
     uint64_t Index = Output.Install->Index;
     if (Index < Vm.AppliedIndex)
-      fail("a snapshot took an index back");
+      fail("a snapshot moved the applied index back");
     Vm.AppliedIndex = Index;
     Vm.AppliedHash = HashAt[Index];
     if (Output.Install->Image != imageOf(Index, Vm.AppliedHash))
-      fail("a snapshot holds another state");
+      fail("a snapshot has a different state");
   }
   for (const wire::log_entry &Entry : Output.Committed) {
     if (Entry.index() != Vm.AppliedIndex + 1)
@@ -147,9 +151,9 @@
   bool Lost = chance() < Loss || Cut[Message.from()][Message.to()];
   if (Lost)
     return;
-  Network.push_back({Now + MostDelay * chance() * chance(), Message});
+  Network.push_back({Now + MaxDelaySeconds * chance() * chance(), Message});
   if (chance() < 0.03)
-    Network.push_back({Now + 3 * MostDelay * chance(), Message});
+    Network.push_back({Now + 3 * MaxDelaySeconds * chance(), Message});
 }
 
 void explorer::deliver() {
@@ -187,9 +191,9 @@
   }
 }
 
-// A further disk may be lost as soon as every VM is a voter with the disk it
-// has: right after a repair, but not during it. With a majority of disks lost
-// at once nothing can be promised.
+// Returns whether every VM is a voter with its present disk. Only then may
+// another disk be lost, so never during the repair of an earlier loss: if a
+// majority of disks is lost at once, no guarantee holds.
 bool explorer::allDisksVote() const {
   for (const vm &Leader : Vms) {
     if (!Leader.Core || !Leader.Core->hasLeaderLease(clockOf(Leader)) ||
@@ -205,7 +209,7 @@
 }
 
 void explorer::randomFault() {
-  // Chances of each fault in a step, in this order.
+  // Probability of each fault per step, in this order.
   constexpr double Crash = 0.004;
   constexpr double LoseDisk = 0.012;
   constexpr double Freeze = 0.0025;
@@ -213,10 +217,10 @@
   constexpr double HealLinks = 0.012;
   constexpr double ChangeLoss = 0.005;
   constexpr double StepClock = 0.002;
-  double Dice = chance();
-  auto Is = [&](double Share) {
-    Dice -= Share;
-    return Dice < 0;
+  double Draw = chance();
+  auto Is = [&](double Probability) {
+    Draw -= Probability;
+    return Draw < 0;
   };
   auto HealAll = [&] {
     for (auto &Row : Cut)
@@ -239,7 +243,7 @@
   } else if (Is(ChangeLoss)) {
     Loss = chance() < 0.6 ? 0 : 0.3 * chance();
   } else if (Is(StepClock)) {
-    // The boot clock steps forward when a frozen VM wakes.
+    // The boot clock jumps forward when a frozen VM resumes.
     anyVm().Offset += 3 * chance();
   }
 }
@@ -271,17 +275,17 @@
   for (const vm &Vm : Vms) {
     if (!Vm.Core || !Vm.Core->isLeader())
       continue;
-    // A term has one leader: a pair of number and disk.
-    uint64_t Name = Vm.Id * 1000 + Vm.Disk.Identity;
-    auto [It, New] = LeaderOfTerm.emplace(Vm.Core->term(), Name);
+    // A term has at most one leader, identified by VM id and disk.
+    uint64_t LeaderId = Vm.Id * 1000 + Vm.Disk.Identity;
+    auto [It, New] = LeaderOfTerm.emplace(Vm.Core->term(), LeaderId);
     Result.Leaders += New ? 1 : 0;
-    if (It->second != Name)
+    if (It->second != LeaderId)
       fail("two leaders in term " + std::to_string(Vm.Core->term()));
     if (Vm.Core->hasLeaderLease(clockOf(Vm)))
       ++Leases;
   }
   if (Leases > 1)
-    fail("two leaders hold a lease at once");
+    fail("two leaders hold a lease at the same time");
 }
 
 explorer_result explorer::run() {
@@ -300,7 +304,7 @@
     maybePropose();
     for (vm &Vm : Vms)
       maybeCompact(Vm);
-    if (Step > SettleSteps)
+    if (Step > FaultFreeSteps)
       randomFault();
     checkLeaders();
   }
--- a/tests/explorer.h
+++ b/tests/explorer.h
@@ -1,10 +1,10 @@
-//===- explorer.h - Random schedules for the agreement ----------*- C++ -*-===//
+//===- explorer.h - Random fault schedules for consensus --------*- C++ -*-===//
 //
-// Drives several cores through one seeded random schedule of loss, doubling,
-// reordering, delay, crashes between write and sync, lost disks, freezes,
-// clocks that drift, snapshots and membership changes, and checks after each
-// step what must always hold. A failure names its seed; the same seed replays
-// it.
+// Runs several Raft cores in simulated time through one random schedule of
+// message loss, duplication, reordering and delay, crashes between write and
+// sync, lost disks, freezes, clock drift, snapshots and membership changes, and
+// checks the safety invariants after each step. The schedule depends only on
+// the seed, which the report of a violation gives, so a run can be repeated.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,28 +20,34 @@
 
 namespace olivevalve {
 
+/// Options of one schedule.
 struct explorer_options {
   uint64_t Seed = 1;
-  size_t Vms = 3;
+  size_t Vms = 3; ///< Number of control VMs.
   int Steps = 3000;
-  /// Faults of the checker's own, which it must find.
+  // The following faults violate what the protocol relies on. They test the
+  // explorer itself: it must find a violation.
   bool ForgetVotes = false;   ///< A crash loses term and vote.
-  bool ForgetEntries = false; ///< A crash loses synced entries.
-  bool KeepIdentity = false;  ///< A lost disk comes back under its old name.
+  bool ForgetEntries = false; ///< A crash loses the last synced entry.
+  /// A VM that lost its disk gets an empty one with the old identity.
+  bool KeepIdentity = false;
 };
 
+/// Violation and counters of one schedule.
 struct explorer_result {
-  std::string Violation; ///< Empty: all held.
-  uint64_t Leaders = 0;
-  uint64_t Committed = 0;
+  std::string Violation;  ///< First violated invariant; empty if none.
+  uint64_t Leaders = 0;   ///< Number of terms with a leader.
+  uint64_t Committed = 0; ///< Highest committed index.
   uint64_t Crashes = 0;
   uint64_t LostDisks = 0;
   uint64_t Snapshots = 0;
 };
 
+/// One simulated group of control VMs.
 class explorer {
 public:
   explicit explorer(explorer_options Options);
+  /// Runs all steps, or until an invariant is violated.
   explorer_result run();
 
 private:
@@ -54,15 +60,15 @@
     uint64_t Id = 0;
     std::unique_ptr<raft_core> Core;
     disk Disk;
-    double Rate = 1; ///< Of its clock.
-    double Offset = 0;
+    double Rate = 1;   ///< Speed of the VM's clock relative to Now.
+    double Offset = 0; ///< Added to the VM's clock, in seconds.
     double FrozenUntil = 0;
-    double DownUntil = 0;
+    double DownUntil = 0; ///< Core is null until then.
     uint64_t AppliedIndex = 0;
-    uint64_t AppliedHash = 0;
+    uint64_t AppliedHash = 0; ///< Of all applied entries.
   };
   struct packet {
-    double At = 0;
+    double At = 0; ///< Time of delivery.
     wire::raft Message;
   };
 
@@ -89,12 +95,12 @@
   std::uniform_real_distribution<double> Unit{0, 1};
   std::vector<vm> Vms;
   std::vector<packet> Network;
-  double Now = 1000;
-  double Loss = 0;
+  double Now = 1000; ///< Simulated time in seconds.
+  double Loss = 0;   ///< Probability that a message is lost.
   std::map<uint64_t, uint64_t> LeaderOfTerm;
-  std::map<uint64_t, uint64_t> HashAt; ///< Of all entries up to an index.
-  std::map<uint64_t, std::string> EntryAt;
-  std::vector<std::vector<bool>> Cut;
+  std::map<uint64_t, uint64_t> HashAt; ///< Hash of all entries up to an index.
+  std::map<uint64_t, std::string> EntryAt; ///< Committed entries by index.
+  std::vector<std::vector<bool>> Cut; ///< Broken links by sender and receiver.
   explorer_result Result;
   uint64_t NextIdentity = 100;
 };
--- a/tests/gateway_world.cpp
+++ b/tests/gateway_world.cpp
@@ -1,4 +1,4 @@
-//===- gateway_world.cpp - Gateways, control by seeds, upstreams ----------===//
+//===- gateway_world.cpp - Test environment with gateways -----------------===//
 
 #include "tests/gateway_world.h"
 #include "base/clock.h"
@@ -19,7 +19,8 @@
 
 gateway_world::gateway_world(size_t Count)
     : List(std::make_unique<upstream_list_stand_in>(Loop)) {
-  // The kernel chooses the ports; addresses of their own make them free.
+  // The kernel chooses the ports on 127.0.0.1. They are free on the control
+  // VMs' addresses too, since nothing else uses those.
   for (int *Port : {&NodePort, &OperatorPort}) {
     Ports.push_back(std::make_unique<reserved_address>());
     *Port = portOf(Ports.back()->text());
@@ -138,7 +139,7 @@
   BOOST_REQUIRE_EQUAL(putRouting(Routing).Status, 200);
   startGateway("gateway-1", Changes);
   untilGatewayReady("gateway-1");
-  until("upstreams are known",
+  until("upstreams are listed",
         [&] { return request("/safe/x").Status == 200; });
 }
 
@@ -178,7 +179,7 @@
     std::string Number = std::to_string(I);
     Route["name"] = "more-" + Number;
     Route["path_prefix"] = "/r" + Number + "/";
-    // As long as those of real deployments, some 300 bytes.
+    // Makes the route some 300 bytes long, as in real deployments.
     Route["note"] = std::string(100, 'n');
     Routing["routes"].push_back(std::move(Route));
   }
@@ -233,7 +234,6 @@
   return nullptr;
 }
 
-// Voters that run and hold the disk that the leader knows them by.
 size_t gateway_world::voters() {
   seeded_control *Leader = leaderOf();
   if (!Leader)
@@ -276,7 +276,7 @@
 caller_answer gateway_world::request(const std::string &Path,
                                      caller_request Request) {
   auto Answer = beginRequest(Path, std::move(Request));
-  until("an answer", [&] { return Answer->Done; });
+  until("a response", [&] { return Answer->Done; });
   return *Answer;
 }
 
--- a/tests/gateway_world.h
+++ b/tests/gateway_world.h
@@ -1,7 +1,8 @@
-//===- gateway_world.h - Gateways, control by seeds, upstreams --*- C++ -*-===//
+//===- gateway_world.h - Test environment with gateways ---------*- C++ -*-===//
 //
-// The processes of a system without sidecars: control VMs that find each other
-// by seeds, gateways, and stand-ins of the platform's side in this process.
+// Runs a system without sidecars: control VMs that discover each other through
+// seed addresses, and gateways, as processes. The platform's upstreams and its
+// list of them are simulated in the test process.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,45 +15,56 @@
 
 namespace olivevalve {
 
-/// A control VM with an address of its own, so that all use one port.
+/// A control VM. Each has its own loopback IP, since all use the same ports.
 struct seeded_control {
   std::string Ip;
   std::string Folder;
   std::unique_ptr<daemon_process> Process;
 };
 
+/// Control VMs and gateways, as processes, with simulated upstreams.
 class gateway_world : public world {
 public:
-  /// Starts \p Count control VMs, of which the first three are the seeds.
+  /// Starts \p Count control VMs; the first three are the seeds.
   explicit gateway_world(size_t Count = 3);
   ~gateway_world();
 
-  /// A control VM that joins later, under a new address.
+  /// Adds a control VM with a new address, without starting its process.
+  /// \p MayStartGroup: it may form a new group if the seeds have none.
   seeded_control &addControl(bool MayStartGroup);
+  /// Starts an upstream behind a proxy and adds it to the platform's list.
   replica &addReplica(replica_options Options);
-  /// \p Changes: to the gateway's usual settings.
+  /// \p Changes is merged into the section "gateway" of the default settings.
   void startGateway(const std::string &Name, const json &Changes = {});
-  /// The same, but it finds control at one address only.
+  /// Like startGateway(), but \p Control is the gateway's only seed address.
   void startGatewayBehind(const std::string &Control, const std::string &Name,
                           const json &Changes = {});
   void untilGatewayReady(const std::string &Name);
-  /// Puts the routing in force and starts a gateway; returns once a request
-  /// was served.
+  /// Sends the routing to control, starts a gateway, and waits until it has
+  /// served a request.
   void startServing(const json &Routing, const json &Changes = {});
-  /// The routing with the usual routes, under the next version.
+  /// Returns a routing with the default routes and the next version.
   json usualRouting();
-  /// The same with so many routes more, "/r0/", "/r1/" and so on.
+  /// Like usualRouting(), with \p Routes additional routes "/r0/", "/r1/", ...
   json largeRouting(int Routes);
-  /// Sends it to control VMs in turn until one takes it.
+  /// Sends the routing as an operator, see operatorCall().
   caller_answer putRouting(const json &Routing, double Seconds = 20);
+  /// Sends an operator's request to the control VMs in turn, following
+  /// redirects to the leader, until one handles it. Returns the last response
+  /// if none does within \p Seconds.
   caller_answer operatorCall(const std::string &Method, const std::string &Path,
                              const std::string &Body, double Seconds = 20);
-  /// What a control VM says of itself; empty if it does not answer.
+  /// Returns the status that a control VM reports; empty if it does not
+  /// respond.
   json statusOf(const seeded_control &Node);
+  /// Returns the number of running control VMs that are voters with the disk
+  /// that the leader has on record for them; 0 without a leader or while a
+  /// membership change is in progress.
   size_t voters();
   void untilVoters(size_t Count);
+  /// Returns the leading control VM, or null if there is none.
   seeded_control *leaderOf();
-  /// Where nodes connect to this control VM.
+  /// Address at which nodes connect to this control VM.
   std::string nodeAddressOf(const seeded_control &Node) const {
     return Node.Ip + ":" + std::to_string(NodePort);
   }
@@ -60,23 +72,26 @@
     return Node.Ip + ":" + std::to_string(OperatorPort);
   }
 
+  /// Sends a request of the client account "dispatch" to the gateway and
+  /// returns at once. Sets LastId.
   std::shared_ptr<caller_answer> beginRequest(const std::string &Path,
                                               caller_request Request = {});
+  /// Like beginRequest(), but waits for the response.
   caller_answer request(const std::string &Path, caller_request Request = {});
   std::string nextId() { return "attempt-" + std::to_string(++Requests); }
 
   std::vector<std::unique_ptr<seeded_control>> Seeded;
   std::map<std::string, std::unique_ptr<replica>> Replicas;
-  /// Gateways reach each upstream through it.
+  /// Proxies through which gateways reach the upstreams, by upstream id.
   std::map<std::string, std::unique_ptr<proxy>> Paths;
   std::unique_ptr<upstream_list_stand_in> List;
   reserved_address GatewayAddress;
   reserved_address GatewayHealth;
   std::unique_ptr<daemon_process> Gateway;
   uint64_t RoutingVersion = 0;
-  std::string LastId; ///< Of the last request.
+  std::string LastId; ///< Attempt id of the last request.
 
-  /// A further gateway, not started.
+  /// Returns an additional gateway whose process is not started.
   std::unique_ptr<daemon_process> makeGateway(const std::string &Name,
                                               const reserved_address &Address,
                                               const reserved_address &Health);
--- a/tests/measure.cpp
+++ b/tests/measure.cpp
@@ -1,8 +1,8 @@
-//===- measure.cpp - Slopes for docs/CAPACITY.md --------------------------===//
+//===- measure.cpp - Measurements for docs/CAPACITY.md --------------------===//
 //
-// Runs real processes at several sizes and reads processor time and memory
-// from the system and bytes from the processes' own counters. Writes rows of
-// experiment, role, size, quantity, value as CSV to the file named by
+// Runs real processes at several sizes and measures processor time and memory,
+// from the operating system, and bytes, from the processes' metrics. Writes
+// rows of experiment, role, size, quantity, value as CSV to the file named by
 // OLIVEVALVE_CSV. Run by scripts/measure; not a test.
 //
 //===----------------------------------------------------------------------===//
@@ -20,10 +20,11 @@
 
 namespace {
 
-// Two askings of each entry at each sidecar.
+// In this time each entry polls each sidecar twice.
 constexpr double WindowSeconds = 20;
 
-/// Sum of one counter of a node's metrics over its kinds, or of one kind.
+/// Returns a counter from a node's metrics, for one message kind or, if \p Kind
+/// is empty, summed over all kinds.
 double counter(world &World, const reserved_address &Health,
                const std::string &Name, const std::string &Kind = "") {
   std::istringstream Lines(
@@ -39,7 +40,7 @@
   return Sum;
 }
 
-/// Config of one model and many upstreams.
+/// Returns a configuration with one model and all sidecars as its upstreams.
 json wideConfig(world &World) {
   json Config = World.usualConfig();
   Config["upstreams"] = json::object();
@@ -62,7 +63,8 @@
 
 } // namespace
 
-// Idle cost of leases and news, and the time of a change, by number of nodes.
+// Cost of leases and state updates in an idle system, and the time until a
+// configuration change is in force, by number of nodes.
 BOOST_AUTO_TEST_CASE(nodes) {
   csv_file Csv;
   struct node_size {
@@ -149,7 +151,7 @@
   }
 }
 
-// Configuration changes: time, log, memory, restart.
+// Configuration changes: processor time and memory of control, restart time.
 BOOST_AUTO_TEST_CASE(changes) {
   csv_file Csv;
   for (int Changes : {100, 500, 2000}) {
@@ -184,7 +186,8 @@
   }
 }
 
-// Pins of sessions: what each costs control and an entry.
+// Session pins: processor time and memory that each takes at control and at an
+// entry.
 BOOST_AUTO_TEST_CASE(sessions) {
   csv_file Csv;
   world World;
@@ -230,7 +233,8 @@
   }
 }
 
-// Pins by the million, as control holds them: memory, the image, a restart.
+// Up to 1.8 million pins in control's table: memory, time to write and to read
+// the snapshot image.
 BOOST_AUTO_TEST_CASE(pins) {
   csv_file Csv;
   pin_table Table;
@@ -271,7 +275,8 @@
   BOOST_TEST(Back.size() == Held);
 }
 
-// Requests: processor time of entry and sidecar, added latency, streams.
+// Requests and streams: processor time and memory of entry and sidecar, added
+// latency.
 BOOST_AUTO_TEST_CASE(requests) {
   csv_file Csv;
   world World;
@@ -337,7 +342,7 @@
     Csv.row("requests", "entry", Count, "requests/s reached", Count / Took);
     Csv.row("requests", "sidecar", Count, "cpu us each",
             1e6 * Sidecars / Count);
-    // Bills of both holders, ratings and counts of answers.
+    // For bills from entry and sidecar, ratings, and response counts.
     Csv.row("requests", "control leader", Count, "cpu us each",
             1e6 *
                 (useOf(*Leader.Process).CpuSeconds - LeaderBefore.CpuSeconds) /
@@ -346,7 +351,7 @@
     Csv.row("requests", "sidecar", Count, "resident MB",
             useOf(SidecarProcess).ResidentMb);
   }
-  // Open streams: memory of entry and sidecar, processor time a token.
+  // Open streams: memory of entry and sidecar, processor time per token.
   json Config = World.usualConfig();
   for (const char *Name : {"a", "b"})
     Config["upstreams"][Name]["slots"] = 1000;
@@ -359,7 +364,8 @@
                   .Seconds = 10}));
     World.run(3);
     process_use EntryBefore = useOf(EntryProcess);
-    // One sidecar may get all streams of one prompt: both are counted.
+    // All streams have the same prompt, so one sidecar may get all of them.
+    // Therefore both sidecars are measured.
     daemon_process &Second = *World.Sidecars["b"]->Process;
     double SidecarsBefore =
         useOf(SidecarProcess).CpuSeconds + useOf(Second).CpuSeconds;
@@ -393,8 +399,7 @@
   }
 }
 
-// How long a group is without a leader that may accept changes, when the one
-// it had is killed.
+// Time without a leader after the leader was killed.
 BOOST_AUTO_TEST_CASE(leaders) {
   csv_file Csv;
   world World;
@@ -415,8 +420,9 @@
   Csv.row("leaders", "control", Kills, "worst s", Times.back());
 }
 
-// Restart after very many changes: one VM alone, so that what is read is its
-// own disk. The changes go to few objects, as they do over the days.
+// Restart time after many changes, with a single control VM so that all state
+// is read from its own disk. The changes go to only 20 objects, as in
+// operation, where the same objects are changed again and again.
 BOOST_AUTO_TEST_CASE(restart) {
   csv_file Csv;
   world World;
@@ -461,7 +467,7 @@
   }
 }
 
-// Claims: what a booking costs, and how many a second the log takes.
+// Claims: processor time of control per booking, and bookings per second.
 BOOST_AUTO_TEST_CASE(claims) {
   csv_file Csv;
   world World;
--- a/tests/measure.h
+++ b/tests/measure.h
@@ -1,4 +1,4 @@
-//===- measure.h - What a process uses, and where rows go -------*- C++ -*-===//
+//===- measure.h - Resource use of processes, CSV output --------*- C++ -*-===//
 
 #ifndef OLIVEVALVE_TESTS_MEASURE_H
 #define OLIVEVALVE_TESTS_MEASURE_H
@@ -11,8 +11,8 @@
 
 namespace olivevalve {
 
-/// Rows of experiment, role, size, quantity, value in the file named by
-/// OLIVEVALVE_CSV.
+/// Appends rows of experiment, role, size, quantity, value to the file named by
+/// OLIVEVALVE_CSV; discards them if the variable is not set.
 class csv_file {
 public:
   csv_file() {
@@ -29,10 +29,10 @@
   std::ofstream File;
 };
 
-/// What the system says of one process.
+/// Resource use of one process, from /proc.
 struct process_use {
-  double CpuSeconds = 0;
-  double ResidentMb = 0;
+  double CpuSeconds = 0; ///< User and system time since the process started.
+  double ResidentMb = 0; ///< Resident memory in units of 10^6 bytes.
 };
 
 inline process_use useOf(pid_t Pid) {
--- a/tests/measure_gateway.cpp
+++ b/tests/measure_gateway.cpp
@@ -1,4 +1,9 @@
-//===- measure_gateway.cpp - What a gateway spends on each event ----------===//
+//===- measure_gateway.cpp - Resource use of a gateway --------------------===//
+//
+// Processor time of one gateway per request and per event of a stream, and its
+// memory. Run by scripts/measure; not a test.
+//
+//===----------------------------------------------------------------------===//
 
 #include "boost/test/unit_test.hpp"
 #include "tests/gateway_world.h"
@@ -10,10 +15,10 @@
 
 constexpr int Upstreams = 4;
 
-/// A gateway before some upstreams that all answer well.
-class busy_world : public gateway_world {
+/// One gateway in front of several upstreams without faults.
+class loaded_world : public gateway_world {
 public:
-  busy_world() {
+  loaded_world() {
     for (int I = 0; I < Upstreams; ++I)
       addReplica({.Id = "i-" + std::to_string(I)});
     json Routing = usualRouting();
@@ -22,28 +27,29 @@
     putRouting(Routing);
     startGateway("gateway-1");
     untilGatewayReady("gateway-1");
-    until("upstreams are known",
+    until("upstreams are listed",
           [&] { return request("/safe/x", {.Method = "GET"}).Status == 200; });
   }
 
-  /// Requests one after the other, so many at a time.
-  void ask(const std::string &Path, int Count, int AtOnce) {
+  /// Sends \p Count requests, at most \p Concurrent at a time, and waits for
+  /// all responses.
+  void sendRequests(const std::string &Path, int Count, int Concurrent) {
     std::vector<std::shared_ptr<caller_answer>> Open;
-    int Begun = 0;
-    int Good = 0;
+    int Sent = 0;
+    int Succeeded = 0;
     until(
-        "all are answered",
+        "all responses are complete",
         [&] {
           std::erase_if(Open, [&](const auto &Answer) {
-            Good += Answer->Done && Answer->Status == 200;
+            Succeeded += Answer->Done && Answer->Status == 200;
             return Answer->Done;
           });
-          for (; Begun < Count && int(Open.size()) < AtOnce; ++Begun)
+          for (; Sent < Count && int(Open.size()) < Concurrent; ++Sent)
             Open.push_back(beginRequest(Path, {.Seconds = 60}));
-          return Begun == Count && Open.empty();
+          return Sent == Count && Open.empty();
         },
         120);
-    BOOST_TEST(Good == Count);
+    BOOST_TEST(Succeeded == Count);
   }
 };
 
@@ -51,10 +57,10 @@
 
 BOOST_AUTO_TEST_CASE(gateway) {
   csv_file Csv;
-  busy_world World;
+  loaded_world World;
   for (int Count : {1000, 4000}) {
     process_use Before = useOf(*World.Gateway);
-    World.ask("/unsafe/x", Count, 8);
+    World.sendRequests("/unsafe/x", Count, 8);
     process_use After = useOf(*World.Gateway);
     Csv.row("gateway", "gateway", Count, "us a request",
             (After.CpuSeconds - Before.CpuSeconds) / Count * 1e6);
@@ -63,7 +69,8 @@
   for (int Streams : {20, 100, 400}) {
     constexpr int Events = 200;
     process_use Before = useOf(*World.Gateway);
-    World.ask("/stream/x?events=" + std::to_string(Events), Streams, Streams);
+    World.sendRequests("/stream/x?events=" + std::to_string(Events), Streams,
+                       Streams);
     process_use After = useOf(*World.Gateway);
     Csv.row("gateway_streams", "gateway", Streams, "us an event",
             (After.CpuSeconds - Before.CpuSeconds) / Streams / Events * 1e6);
--- a/tests/measure_routing.cpp
+++ b/tests/measure_routing.cpp
@@ -1,7 +1,7 @@
-//===- measure_routing.cpp - What a change of the routing costs -----------===//
+//===- measure_routing.cpp - Cost of a routing change ---------------------===//
 //
-// One real gateway, and the ties to control of many more in this process. Ten
-// changes of one route each, one after the other.
+// Runs one gateway process, and in this process only the connections to control
+// of many more gateways. Measures ten consecutive changes of one route each.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,9 +18,10 @@
 
 constexpr int Changes = 10;
 
-class watched_world : public gateway_world {
+/// Control VMs with the given number of connected gateways.
+class connected_world : public gateway_world {
 public:
-  explicit watched_world(int Gateways) {
+  explicit connected_world(int Gateways) {
     untilVoters(3);
     std::vector<std::string> Seeds;
     for (auto &Node : Seeded)
@@ -41,7 +42,8 @@
     }
   }
 
-  /// Until all ties hold \p Version, and the real gateway has \p Route.
+  /// Waits until all connections have received \p Version and the gateway
+  /// process serves \p Route.
   void untilInForce(uint64_t Version, const std::string &Route) {
     until(
         "the change is in force",
@@ -55,6 +57,7 @@
         120);
   }
 
+  /// Bytes that the connections in this process have received.
   double receivedBytes() {
     uint64_t Sum = 0;
     for (const kind_traffic &Kind : Context.traffic().ByKind)
@@ -67,7 +70,7 @@
 };
 
 void measure(csv_file &Csv, int Routes, int Gateways) {
-  watched_world World(Gateways);
+  connected_world World(Gateways);
   World.addReplica({.Id = "i-1"});
   json Routing = World.largeRouting(Routes);
   World.putRouting(Routing);
--- a/tests/platform_main.cpp
+++ b/tests/platform_main.cpp
@@ -1,8 +1,8 @@
-//===- platform_main.cpp - The platform's side as a program ---------------===//
+//===- platform_main.cpp - Simulated platform as a program ----------------===//
 //
 // usage: platform_stand_in IP:port COUNT
 //
-// Serves the list of upstreams at the address, with so many upstreams of the
+// Serves the list of upstreams at the address and runs COUNT upstreams of the
 // service "plain" on ports that the kernel chooses.
 //
 //===----------------------------------------------------------------------===//
--- a/tests/proxy.cpp
+++ b/tests/proxy.cpp
@@ -1,4 +1,4 @@
-//===- proxy.cpp - Faults on a TCP path -----------------------------------===//
+//===- proxy.cpp - Fault-injecting TCP proxy ------------------------------===//
 
 #include "tests/proxy.h"
 #include <algorithm>
@@ -14,7 +14,8 @@
 namespace {
 
 constexpr size_t BlockBytes = 64 << 10;
-constexpr size_t MostPending = 4 << 20;
+// A direction with this many pending bytes is not read from.
+constexpr size_t MaxPendingBytes = 4 << 20;
 constexpr size_t DripBytes = 16;
 constexpr double DripSeconds = 0.02;
 constexpr double SlowSeconds = 0.15;
@@ -103,7 +104,7 @@
     return resetAndClose(Client);
   int Server = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   sockaddr_in Where = parse(Target);
-  // Loopback answers at once, so a blocking connect is short.
+  // On loopback a connect completes at once, so it may block.
   if (connect(Server, reinterpret_cast<sockaddr *>(&Where), sizeof(Where)) !=
       0) {
     close(Server);
@@ -136,8 +137,8 @@
     return;
   if (Count == 0)
     return Fault == proxy_fault::None ? endBoth(Connection) : reset(Connection);
-  // What went into a hole is gone: a connection that lost bytes must not be
-  // used again, or frames would be cut in half.
+  // A connection that has lost bytes must not forward any later ones, even
+  // after the fault: the receiver would see parts of frames.
   if (swallows(FromClient))
     Direction.Closed = true;
   if (!Direction.Closed)
@@ -147,25 +148,25 @@
 void proxy::push(direction &Direction, int Out) {
   if (Direction.Pending.empty())
     return;
-  size_t Most =
+  size_t Limit =
       Fault == proxy_fault::Drip ? DripBytes : Direction.Pending.size();
   ssize_t Count = send(Out, Direction.Pending.data(),
-                       std::min(Most, Direction.Pending.size()),
+                       std::min(Limit, Direction.Pending.size()),
                        MSG_DONTWAIT | MSG_NOSIGNAL);
   if (Count > 0)
     Direction.Pending.erase(0, size_t(Count));
 }
 
-// A throttled path moves only when its timer fires.
+// Sends pending data; under Slow and Drip only when the timer fires.
 void proxy::forward(connection &Connection) {
   if (Connection.Dead)
     return;
   bool Throttled = Fault == proxy_fault::Slow || Fault == proxy_fault::Drip;
-  bool Holds = !Connection.ToServer.Pending.empty() ||
-               !Connection.ToClient.Pending.empty();
+  bool HasPending = !Connection.ToServer.Pending.empty() ||
+                    !Connection.ToClient.Pending.empty();
   if (!Throttled)
     moveAll(Connection);
-  else if (Holds && !Connection.Later.active())
+  else if (HasPending && !Connection.Later.active())
     Connection.Later.startOnce(Fault == proxy_fault::Slow ? SlowSeconds
                                                           : DripSeconds);
   rewatch(Connection);
@@ -184,9 +185,9 @@
   bool Throttled = Fault == proxy_fault::Slow || Fault == proxy_fault::Drip;
   bool ClientStalls = Fault == proxy_fault::ClientStalls;
   auto EventsFor = [&](const direction &In, const direction &Out) {
-    bool Takes = In.Pending.size() < MostPending &&
+    bool Reads = In.Pending.size() < MaxPendingBytes &&
                  !(ClientStalls && &In == &Connection.ToClient);
-    int Events = Takes ? EV_READ : 0;
+    int Events = Reads ? EV_READ : 0;
     return Events | (!Out.Pending.empty() && !Throttled ? EV_WRITE : 0);
   };
   Connection.ClientWatch.start(
@@ -202,7 +203,8 @@
   Connection.Later.stop();
 }
 
-// An end without a fault stays one: the other side sees it after the bytes.
+// Closes both sides in order after the pending data has been sent; resets the
+// connection if not all of it can be sent at once.
 void proxy::endBoth(connection &Connection) {
   moveAll(Connection);
   bool AllMoved = Connection.ToServer.Pending.empty() &&
--- a/tests/proxy.h
+++ b/tests/proxy.h
@@ -1,6 +1,6 @@
-//===- proxy.h - Faults on a TCP path ---------------------------*- C++ -*-===//
+//===- proxy.h - Fault-injecting TCP proxy ----------------------*- C++ -*-===//
 //
-// Forwards connections to one address and brings faults about on the way.
+// Forwards TCP connections to one address and injects network faults.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,16 +16,20 @@
 
 enum class proxy_fault : uint8_t {
   None,
-  Cut,          ///< Connections are reset, new ones too.
-  Hole,         ///< Nothing passes, nothing is closed.
-  HoleToServer, ///< Only what comes from clients is swallowed.
-  HoleToClient,
-  HalfClose,    ///< What clients send ends, as if they had shut it down.
-  Drip,         ///< A few bytes at a time.
-  Slow,         ///< Everything comes late.
-  ClientStalls, ///< Nothing is taken from the server: its queue fills.
+  Cut,          ///< Resets open connections and each new one.
+  Hole,         ///< Drops all data; connections stay open.
+  HoleToServer, ///< Drops data from clients only.
+  HoleToClient, ///< Drops data from the server only.
+  /// Shuts down the direction to the server, as if clients had done so.
+  HalfClose,
+  Drip, ///< Forwards a few bytes at a time.
+  Slow, ///< Delays all data.
+  /// Reads nothing from the server, so that its send queue fills up.
+  ClientStalls,
 };
 
+/// A proxy on a loopback port. While a fault other than None is set, the end of
+/// either side's data resets the connection.
 class proxy {
 public:
   proxy(struct ev_loop *Loop, std::string Target);
@@ -35,14 +39,15 @@
 
   const std::string &address() const { return Address; }
   void setTarget(std::string NewTarget) { Target = std::move(NewTarget); }
+  /// Applies to open and new connections.
   void set(proxy_fault NewFault);
-  /// That are open now.
+  /// Number of open connections.
   size_t connections() const;
 
 private:
   struct direction {
-    std::string Pending;
-    bool Closed = false;
+    std::string Pending; ///< Read, but not yet written to the other side.
+    bool Closed = false; ///< Data was dropped; all further data is dropped too.
   };
   struct connection {
     connection(struct ev_loop *Loop, proxy &Owner);
--- a/tests/repeats_test.cpp
+++ b/tests/repeats_test.cpp
@@ -1,9 +1,9 @@
-//===- repeats_test.cpp - The bound on repeats through starts and changes -===//
+//===- repeats_test.cpp - Limit on the retries of all gateways ------------===//
 //
-// Many gateways, in simulated time, share one bound on what they send again.
-// They start anew and have forgotten what they sent, are told a wrong number of
-// gateways or none, and take over each other's callers, while every request
-// fails and is sent again as often as its gateway allows.
+// Simulates many gateways that share one limit on their retries per time
+// window, while requests fail and are retried as often as the gateway permits.
+// Meanwhile gateways restart and lose their counters, receive a wrong count of
+// gateways or none, and take over each other's clients.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,8 +18,10 @@
 
 namespace {
 
-constexpr double CheckSeconds = 0.1; // Between two windows that are judged.
+// The limit is checked for a window that ends at each multiple of this.
+constexpr double CheckSeconds = 0.1;
 
+// Returns the number of times in (From, To].
 size_t within(const std::vector<double> &Times, double From, double To) {
   auto First = std::upper_bound(Times.begin(), Times.end(), From);
   return size_t(std::upper_bound(First, Times.end(), To) - First);
@@ -29,64 +31,69 @@
   uint32_t Gateways = 32;
   retry_window_bounds Bounds = {
       .Ratio = 0.9, .Slack = 104, .WindowSeconds = 10};
-  double RequestsPerSecond = 130; ///< Of all gateways together.
+  double RequestsPerSecond = 130; ///< At all gateways together.
 };
 
-/// Gateways of one fleet and what they sent.
+/// The gateways, and the times of all their requests and retries.
 class fleet {
 public:
   explicit fleet(fleet_options NewOptions) : Options(NewOptions) {
     for (uint32_t I = 0; I < Options.Gateways; ++I)
       add();
-    tellAll();
+    reportCountToAll();
   }
 
-  size_t size() const { return Parts.size(); }
-  /// One more gateway, which nobody has told how many there are.
-  void add() { Parts.emplace_back(Options.Bounds); }
-  /// The gateway has lost what it counted and what it was told.
-  void startAnew(size_t Gateway) {
-    Parts[Gateway] = retry_share(Options.Bounds);
+  size_t size() const { return Shares.size(); }
+  /// Adds a gateway that has not received the count of gateways.
+  void add() { Shares.emplace_back(Options.Bounds); }
+  /// Restarts a gateway, which loses its counters and the count of gateways.
+  void restart(size_t Gateway) {
+    Shares[Gateway] = retry_share(Options.Bounds);
   }
-  void startAllAnew() {
+  void restartAll() {
     for (size_t I = 0; I < size(); ++I)
-      startAnew(I);
+      restart(I);
   }
-  void tell(size_t Gateway, uint32_t Gateways) {
-    Parts[Gateway].setBounds(Options.Bounds, Gateways);
+  /// Reports to one gateway that there are \p Gateways of them.
+  void reportCount(size_t Gateway, uint32_t Gateways) {
+    Shares[Gateway].setBounds(Options.Bounds, Gateways);
   }
-  void tellAll() {
+  /// Reports the right count to all gateways.
+  void reportCountToAll() {
     for (size_t I = 0; I < size(); ++I)
-      tell(I, uint32_t(size()));
+      reportCount(I, uint32_t(size()));
   }
 
-  /// Requests of so many seconds come, evenly, at the gateways from \p First to
-  /// before \p Last. Each is sent again \p Most times if its gateway lets it.
-  void play(double Seconds, int Most, size_t First, size_t Last) {
+  /// Sends requests at an even rate for \p Seconds to the gateways with indexes
+  /// in [First, Last). Each request is retried up to \p MaxRetries times, as
+  /// far as its gateway permits.
+  void play(double Seconds, int MaxRetries, size_t First, size_t Last) {
     double Gap = 1 / Options.RequestsPerSecond;
     for (double End = Now + Seconds; Now < End; Now += Gap)
-      request(First + Next++ % (Last - First), Most);
+      request(First + Next++ % (Last - First), MaxRetries);
   }
-  void play(double Seconds, int Most = Unlimited) {
-    play(Seconds, Most, 0, size());
+  void play(double Seconds, int MaxRetries = Unlimited) {
+    play(Seconds, MaxRetries, 0, size());
   }
-  void request(size_t Gateway, int Most = Unlimited) {
+  void request(size_t Gateway, int MaxRetries = Unlimited) {
     Requests.push_back(Now);
-    Parts[Gateway].recordRequest(Now);
-    for (int I = 0; I < Most && Parts[Gateway].take(Now); ++I)
-      Repeats.push_back(Now);
+    Shares[Gateway].recordRequest(Now);
+    for (int I = 0; I < MaxRetries && Shares[Gateway].take(Now); ++I)
+      Retries.push_back(Now);
   }
-  /// Nothing comes for so long.
-  void rest(double Seconds) { Now += Seconds; }
+  /// Lets time pass without requests.
+  void idle(double Seconds) { Now += Seconds; }
 
-  size_t repeats() const { return Repeats.size(); }
+  size_t retries() const { return Retries.size(); }
   size_t requests() const { return Requests.size(); }
 
-  /// Requests count in the window, the one before it or the one half a window
-  /// before it, whichever has most of them.
+  /// Checks that no window has more retries than the ratio of its requests,
+  /// plus the slack. The number of requests is the largest of those in the
+  /// window itself, in the window before it, and in the one that begins half a
+  /// window earlier.
   void checkEveryWindow() const {
     double Window = Options.Bounds.WindowSeconds;
-    double MostOver = 0;
+    double MaxExcess = 0;
     for (double To = Begin; To < Now + Window; To += CheckSeconds) {
       size_t Counted = 0;
       for (double Back : {0.0, Window / 2, Window})
@@ -94,10 +101,10 @@
             std::max(Counted, within(Requests, To - Back - Window, To - Back));
       double Allowed =
           Options.Bounds.Ratio * double(Counted) + Options.Bounds.Slack;
-      double Over = double(within(Repeats, To - Window, To)) - Allowed;
-      MostOver = std::max(MostOver, Over);
+      double Excess = double(within(Retries, To - Window, To)) - Allowed;
+      MaxExcess = std::max(MaxExcess, Excess);
     }
-    BOOST_TEST(MostOver <= 0);
+    BOOST_TEST(MaxExcess <= 0);
   }
 
   static constexpr int Unlimited = 1000;
@@ -105,87 +112,85 @@
 private:
   static constexpr double Begin = 100;
   fleet_options Options;
-  std::vector<retry_share> Parts;
-  std::vector<double> Requests;
-  std::vector<double> Repeats;
+  std::vector<retry_share> Shares; ///< By gateway.
+  std::vector<double> Requests;    ///< Times.
+  std::vector<double> Retries;     ///< Times.
   double Now = Begin;
-  size_t Next = 0;
+  size_t Next = 0; ///< Number of requests so far; spreads them over gateways.
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(repeats_of_all_gateways)
+BOOST_AUTO_TEST_SUITE(retries_of_all_gateways)
 
-// Operators saw arrivals at a service beyond the first of each request go over
-// the bound of all gateways, in seconds when all of them and control had lost
-// power: requests failed, gateways sent again what the last ten seconds
-// allowed, started, had forgotten it, and sent as much again. Cause: what a
-// gateway had sent was a count in its memory, that a start set to nothing, and
-// the part of the slack was whole again. Proof: the first story below, and a
-// day of failing requests and three starts of all gateways, on which every
-// repeat was counted by its gateway and the sum was 60 over the bound of 1,787.
-BOOST_AUTO_TEST_SUITE(stay_within_the_bound_when)
+// Guards against more retries than the shared limit after all gateways have
+// restarted. A gateway counted its retries in memory only, so after a restart
+// it had its full share of the slack again and sent within the same ten seconds
+// as many retries as before. With three restarts of all gateways the sum was 60
+// above the limit of 1,787, although each gateway kept to its own count.
+BOOST_AUTO_TEST_SUITE(stay_within_the_limit_when)
 
-BOOST_AUTO_TEST_CASE(all_gateways_start_anew) {
+BOOST_AUTO_TEST_CASE(all_gateways_restart) {
   fleet Fleet({});
-  Fleet.play(20, 0); // Calm: nothing of the bound is used.
+  Fleet.play(20, 0); // Without retries, so that the whole limit is available.
   Fleet.play(4);
-  Fleet.startAllAnew();
+  Fleet.restartAll();
   Fleet.play(0.4);
-  Fleet.tellAll();
+  Fleet.reportCountToAll();
   Fleet.play(10);
   Fleet.checkEveryWindow();
 }
 
-BOOST_AUTO_TEST_CASE(they_start_anew_several_times) {
+BOOST_AUTO_TEST_CASE(all_gateways_restart_repeatedly) {
   fleet Fleet({});
   Fleet.play(12);
   for (int I = 0; I < 8; ++I) {
-    Fleet.startAllAnew();
-    Fleet.tellAll();
+    Fleet.restartAll();
+    Fleet.reportCountToAll();
     Fleet.play(1);
   }
   Fleet.play(10);
   Fleet.checkEveryWindow();
 }
 
-BOOST_AUTO_TEST_CASE(few_requests_come_and_all_start_anew) {
+BOOST_AUTO_TEST_CASE(all_gateways_restart_under_low_load) {
   fleet Fleet({.RequestsPerSecond = 10});
   Fleet.play(20, 0);
   for (int I = 0; I < 5; ++I) {
     Fleet.play(2);
-    Fleet.startAllAnew();
-    Fleet.tellAll();
+    Fleet.restartAll();
+    Fleet.reportCountToAll();
   }
   Fleet.play(10);
   Fleet.checkEveryWindow();
 }
 
-// What a VM that has just come to lead would count: who has asked it so far.
-BOOST_AUTO_TEST_CASE(a_new_leader_tells_each_another_number) {
+// Guards against trust in the count of gateways that a new leader reports: it
+// counts only those that have contacted it so far.
+BOOST_AUTO_TEST_CASE(a_new_leader_reports_different_counts) {
   fleet Fleet({});
   Fleet.play(20, 0);
   for (size_t I = 0; I < Fleet.size(); ++I)
-    Fleet.tell(I, uint32_t(I + 1));
+    Fleet.reportCount(I, uint32_t(I + 1));
   Fleet.play(0.4);
-  Fleet.tellAll();
+  Fleet.reportCountToAll();
   Fleet.play(10);
   Fleet.checkEveryWindow();
 }
 
-BOOST_AUTO_TEST_CASE(half_as_many_gateways_are_added) {
+BOOST_AUTO_TEST_CASE(the_number_of_gateways_grows_by_half) {
   fleet Fleet({});
   Fleet.play(20, 0);
   Fleet.play(3);
   for (int I = 0; I < 16; ++I)
     Fleet.add();
   Fleet.play(0.4);
-  Fleet.tellAll();
+  Fleet.reportCountToAll();
   Fleet.play(10);
   Fleet.checkEveryWindow();
 }
 
-BOOST_AUTO_TEST_CASE(callers_go_over_to_other_gateways) {
+BOOST_AUTO_TEST_CASE(clients_move_to_other_gateways) {
   fleet Fleet({});
   Fleet.play(20, 0);
   Fleet.play(4, fleet::Unlimited, 0, 16);
@@ -193,33 +198,34 @@
   Fleet.checkEveryWindow();
 }
 
-BOOST_AUTO_TEST_CASE(nobody_is_told_how_many_they_are) {
+BOOST_AUTO_TEST_CASE(no_gateway_receives_the_count) {
   for (uint32_t Gateways : {10U, 103U, 410U}) {
     fleet Fleet({.Gateways = Gateways});
     Fleet.play(20, 0);
-    Fleet.startAllAnew();
+    Fleet.restartAll();
     Fleet.play(12);
     Fleet.checkEveryWindow();
   }
 }
 
-// With the same bound, from an ordinary load to hardly any at each gateway.
+// The limit is the same for all numbers of gateways; each gateway gets between
+// 0.05 and 10 requests per second.
 BOOST_AUTO_TEST_CASE(there_are_hundreds_of_gateways) {
   for (uint32_t Gateways : {103U, 300U, 410U})
     for (double PerSecond : {20.0, 100.0, 200.0, 400.0, 1000.0}) {
       fleet Fleet({.Gateways = Gateways, .RequestsPerSecond = PerSecond});
       Fleet.play(30, 0);
       Fleet.play(12);
-      Fleet.rest(3);
+      Fleet.idle(3);
       Fleet.play(4);
-      Fleet.startAllAnew();
-      Fleet.tellAll();
+      Fleet.restartAll();
+      Fleet.reportCountToAll();
       Fleet.play(8);
       Fleet.checkEveryWindow();
     }
 }
 
-BOOST_AUTO_TEST_CASE(all_of_it_comes_in_any_order) {
+BOOST_AUTO_TEST_CASE(such_events_come_in_random_order) {
   for (unsigned Seed = 1; Seed <= 60; ++Seed) {
     std::mt19937 Random(Seed);
     auto Below = [&](size_t Limit) { return size_t(Random() % Limit); };
@@ -230,19 +236,19 @@
       size_t Last = First + 1 + Below(Fleet.size() - First);
       switch (Below(6)) {
       case 0:
-        Fleet.startAllAnew();
+        Fleet.restartAll();
         break;
       case 1:
-        Fleet.startAnew(First);
+        Fleet.restart(First);
         break;
       case 2:
         Fleet.add();
         break;
       case 3:
-        Fleet.tellAll();
+        Fleet.reportCountToAll();
         break;
       case 4:
-        Fleet.rest(double(Below(40)) * 0.1);
+        Fleet.idle(double(Below(40)) * 0.1);
         break;
       default:
         break;
@@ -257,20 +263,21 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-// The bound is there to be used: callers whose requests fail are served by a
-// second upstream.
-BOOST_AUTO_TEST_SUITE(are_there_for_callers)
+// Guards against a limit that is kept by retrying too little: most requests
+// that fail must still be retried at a second upstream.
+BOOST_AUTO_TEST_SUITE(are_permitted)
 
-BOOST_AUTO_TEST_CASE(at_two_of_three_requests_for_any_time) {
+BOOST_AUTO_TEST_CASE(for_most_requests_over_a_long_time) {
   fleet Fleet({});
   Fleet.play(60, 1);
-  BOOST_TEST(double(Fleet.repeats()) > 0.6 * double(Fleet.requests()));
+  BOOST_TEST(double(Fleet.retries()) > 0.6 * double(Fleet.requests()));
 }
 
-// A gateway that had just started lost most of what a request earned: the first
-// callers whose request met a closed connection and then an upstream that had
-// ended got 502, though five repeats a request were allowed.
-BOOST_AUTO_TEST_CASE(at_the_first_request_as_often_as_it_earned) {
+// Guards against a gateway that has just started crediting too few retries for
+// its first requests. With a ratio of five retries per request, the first
+// clients got status 502 when their request met a closed connection and then a
+// crashed upstream.
+BOOST_AUTO_TEST_CASE(for_the_first_request_after_a_start) {
   retry_share Share({.Ratio = 5, .Slack = 0, .WindowSeconds = 10});
   Share.recordRequest(1);
   int Taken = 0;
@@ -279,27 +286,27 @@
   BOOST_TEST(Taken == 4);
 }
 
-// Upstreams of a third of what is under way crash at once.
-BOOST_AUTO_TEST_CASE(when_many_fail_at_the_same_moment) {
+// As when upstreams with a third of the requests in flight crash together.
+BOOST_AUTO_TEST_CASE(when_many_requests_fail_at_once) {
   fleet Fleet({});
   Fleet.play(20, 0);
   Fleet.play(2, 1);
-  BOOST_TEST(double(Fleet.repeats()) > 0.95 * 2 * 130);
+  BOOST_TEST(double(Fleet.retries()) > 0.95 * 2 * 130);
 }
 
-BOOST_AUTO_TEST_CASE(soon_after_all_started_anew) {
+BOOST_AUTO_TEST_CASE(soon_after_all_gateways_restarted) {
   fleet Fleet({});
   Fleet.play(20, 0);
-  Fleet.startAllAnew();
+  Fleet.restartAll();
   Fleet.play(0.4, 1);
-  Fleet.tellAll();
+  Fleet.reportCountToAll();
   Fleet.play(1.6, 1);
-  BOOST_TEST(double(Fleet.repeats()) > 0.4 * 2 * 130);
+  BOOST_TEST(double(Fleet.retries()) > 0.4 * 2 * 130);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
-// One gateway after the other, with requests in no even order.
+// Requests go to the gateways in turn, at an uneven rate.
 BOOST_AUTO_TEST_SUITE(of_ten_gateways)
 
 namespace {
@@ -312,8 +319,8 @@
   std::vector<double> Retries;
 };
 
-// Ten gateways; each sends every request again as often as it may.
-sent_times sendAllAgain(const std::vector<double> &Requests) {
+// Ten gateways retry each request as often as they are permitted.
+sent_times retryAll(const std::vector<double> &Requests) {
   constexpr uint32_t Gateways = 10;
   std::vector<retry_share> Windows(Gateways,
                                    retry_share(SharedBounds, Gateways));
@@ -329,15 +336,15 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(keep_the_shared_bound_in_every_window) {
+BOOST_AUTO_TEST_CASE(stay_within_the_shared_limit_in_every_window) {
   std::vector<double> Requests;
   for (double T = 100; T < 130; T += 0.02)
-    Requests.push_back(T); // Steady,
+    Requests.push_back(T); // Steady load.
   for (double T = 145; T < 160; T += 0.3)
-    Requests.push_back(T); // few after a pause,
+    Requests.push_back(T); // Low load after a pause.
   for (double T = 160; T < 175; T += 0.005)
-    Requests.push_back(T); // and a burst.
-  sent_times Sent = sendAllAgain(Requests);
+    Requests.push_back(T); // A burst.
+  sent_times Sent = retryAll(Requests);
   for (double To = 100; To < 190; To += 0.13) {
     double Allowed =
         SharedBounds.Ratio *
@@ -349,9 +356,10 @@
   BOOST_TEST(double(Sent.Retries.size()) > 0.8 * double(Requests.size()));
 }
 
-// One of 32 gateways, at a few requests a second: every second one is sent
-// again, in no order. A bucket that holds what is left of the slack runs dry.
-BOOST_AUTO_TEST_CASE(suffice_at_a_gateway_with_few_requests) {
+// Guards against refused retries at one of 32 gateways that gets seven requests
+// per second and retries a random half of them. A token bucket with only the
+// gateway's share of the slack would run empty.
+BOOST_AUTO_TEST_CASE(suffice_for_a_gateway_with_few_requests) {
   std::mt19937_64 Random(7);
   retry_share Window(SharedBounds, 32);
   int Refused = 0;
@@ -364,8 +372,9 @@
   BOOST_TEST(Refused <= 2);
 }
 
-// Whatever a gateway may send again beside the ratio comes with time.
-BOOST_AUTO_TEST_CASE(come_with_time_where_the_ratio_is_nothing) {
+// With a ratio of 0 a gateway has no retries at its start; its share of the
+// slack accrues with time.
+BOOST_AUTO_TEST_CASE(accrue_with_time_if_the_ratio_is_zero) {
   constexpr retry_window_bounds SlackOnly{
       .Ratio = 0, .Slack = 10, .WindowSeconds = 10};
   retry_share Share(SlackOnly, 1);
--- a/tests/replica.cpp
+++ b/tests/replica.cpp
@@ -1,4 +1,4 @@
-//===- replica.cpp - Direct upstreams, their list and their faults --------===//
+//===- replica.cpp - Simulated upstreams and their list -------------------===//
 
 #include "tests/replica.h"
 #include "base/clock.h"
@@ -10,7 +10,8 @@
 namespace {
 
 constexpr double EventGapSeconds = 0.005;
-constexpr size_t EntriesOfPage = 2; // So that every list has pages.
+// Small, so that even short lists have several pages.
+constexpr size_t EntriesOfPage = 2;
 
 std::string queryOf(const std::string &Target, const std::string &Name) {
   size_t Query = Target.find('?');
@@ -32,7 +33,7 @@
   return Value ? *Value : "";
 }
 
-std::string whole(const std::string &Head, const std::string &Body) {
+std::string withBody(const std::string &Head, const std::string &Body) {
   return Head + "Content-Length: " + std::to_string(Body.size()) + "\r\n\r\n" +
          Body;
 }
@@ -88,7 +89,7 @@
 }
 
 int replica::mostInASecond(double Since) const {
-  int Most = 0;
+  int Max = 0;
   size_t Begin = 0;
   while (Begin < ArrivedAt.size() && ArrivedAt[Begin] < Since)
     ++Begin;
@@ -96,9 +97,9 @@
   for (size_t I = Begin; I < ArrivedAt.size(); ++I) {
     while (ArrivedAt[I] - ArrivedAt[First] > 1)
       ++First;
-    Most = std::max(Most, int(I - First + 1));
+    Max = std::max(Max, int(I - First + 1));
   }
-  return Most;
+  return Max;
 }
 
 void replica::crash() {
@@ -140,40 +141,40 @@
   ArrivedAt.push_back(steadySeconds());
   std::string Id = headerOf(Head, "X-Attempt-Id");
   bool Large = headerOf(Head, "X-Model") == "large";
-  std::string Do = queryOf(Head.Target, Large ? "large" : "do");
+  std::string Fault = queryOf(Head.Target, Large ? "large" : "do");
   if (headerOf(Head, "X-Expect-Instance") != Options.Id)
-    return Connection.Stream.write(whole(answerHead(421, Id, ""), "other"));
-  if (Do == "refuse" || Refuses) {
-    std::string Rest =
+    return Connection.Stream.write(withBody(answerHead(421, Id, ""), "other"));
+  if (Fault == "refuse" || Refuses) {
+    std::string RetryLine =
         RetryAfter.empty() ? "" : "Retry-After: " + RetryAfter + "\r\n";
-    return Connection.Stream.write(
-        whole(answerHead(503, Id, "X-Not-Executed: 1\r\n" + Rest), "full"));
+    return Connection.Stream.write(withBody(
+        answerHead(503, Id, "X-Not-Executed: 1\r\n" + RetryLine), "full"));
   }
   LastHead = Head;
   LastBody = Body;
   ++Runs[Id];
   Connection.Working = true;
-  if (Do == "mute")
+  if (Fault == "mute")
     return;
-  if (Do == "reset")
+  if (Fault == "reset")
     return kill(Connection);
-  if (Do == "crash" && Head.Target.find("/stream/") == std::string::npos)
+  if (Fault == "crash" && Head.Target.find("/stream/") == std::string::npos)
     return crash();
   if (Head.Target.find("/stream/") != std::string::npos)
     return stream(Connection, Head.Target, Id);
   std::string Text = Options.Id + " got " + Body;
-  std::string Answer = whole(answerHead(200, Id, ""), Text);
-  if (Do == "fail" || Fails)
-    Answer = whole(answerHead(500, Id, ""), "failed");
-  if (Do == "cut")
+  std::string Answer = withBody(answerHead(200, Id, ""), Text);
+  if (Fault == "fail" || Fails)
+    Answer = withBody(answerHead(500, Id, ""), "failed");
+  if (Fault == "cut")
     Answer.resize(Answer.size() - 3);
-  if (Do == "garble")
+  if (Fault == "garble")
     Answer = "!!! this is not HTTP\r\n\r\n";
-  if (Do == "extra")
-    Answer += whole(answerHead(200, "somebody-else", ""), "not yours");
-  if (Do == "unframed")
+  if (Fault == "extra")
+    Answer += withBody(answerHead(200, "somebody-else", ""), "not yours");
+  if (Fault == "unframed")
     Answer = answerHead(200, Id, "Connection: close\r\n") + "\r\n" + Text;
-  Connection.CloseAfter = Do == "cut" || Do == "unframed";
+  Connection.CloseAfter = Fault == "cut" || Fault == "unframed";
   Connection.Answer = std::move(Answer);
   Connection.Later.startOnce(numberOf(Head.Target, "late", 0) * 1e-3);
 }
--- a/tests/replica.h
+++ b/tests/replica.h
@@ -1,16 +1,26 @@
-//===- replica.h - Direct upstreams, their list and their faults -*- C++
-//-*-===//
+//===- replica.h - Simulated upstreams and their list -----------*- C++ -*-===//
 //
-// Stands in for the platform's side: upstreams that speak HTTP with the
-// platform's headers, and the list that names them. Each counts what it ran, so
-// that tests hold what callers were told against what happened.
+// Simulates the platform: upstreams that gateways reach directly over HTTP with
+// the platform's headers, and the list of these upstreams. An upstream counts
+// the requests that it ran, so that tests can compare the responses that
+// clients received with what was run.
 //
-// The query of a request steers its answer: do=fail (500), refuse (not run),
-// mute, reset, cut (in the middle), garble, extra (a second answer behind it),
-// unframed (ends with the connection), crash (the upstream ends), late=MS.
-// Under /stream/ events=N, and break=K ends the stream in the middle of event
-// K+1, unless it goes on from one; with do=crash the upstream ends there. Where
-// the model "large" is asked, large=X stands in the place of do=X.
+// The query of a request selects the response:
+//   do=fail      status 500
+//   do=refuse    status 503, the request is not run
+//   do=mute      no response
+//   do=reset     the connection is closed without a response
+//   do=cut       the connection is closed before the end of the response
+//   do=garble    bytes that are not HTTP
+//   do=extra     a second, unsolicited response follows the first
+//   do=unframed  no Content-Length; the end of the connection ends the body
+//   do=crash     the upstream crashes
+//   late=MS      the response is delayed by MS milliseconds
+// A path with /stream/ gives a stream of events=N events. With break=K the
+// stream breaks off in the middle of event K+1, unless the request resumes a
+// stream (Last-Event-Id). With break=K and do=crash the upstream crashes there,
+// also in a resumed stream. If the request asks for the model "large", large=X
+// is read in place of do=X.
 //
 //===----------------------------------------------------------------------===//
 
@@ -29,6 +39,7 @@
 
 namespace olivevalve {
 
+/// What the list says about an upstream.
 struct replica_options {
   std::string Id;
   std::string Service = "plain";
@@ -36,6 +47,7 @@
   std::string DataHall = "charguia";
 };
 
+/// A simulated upstream.
 class replica {
 public:
   replica(struct ev_loop *Loop, replica_options Options);
@@ -45,30 +57,35 @@
 
   const std::string &address() const { return Listener.address(); }
   const replica_options &options() const { return Options; }
-  /// Requests that reached it, also those that it did not run.
+  /// Number of requests received, including those that were not run.
   int arrivals() const { return int(ArrivedAt.size()); }
-  /// The most of them within any second from \p Since on.
+  /// Returns the largest number of requests received within one second, over
+  /// all seconds after \p Since (steady clock).
   int mostInASecond(double Since) const;
-  /// Runs of a request by its attempt id, and of all.
+  /// Returns how often the request with this attempt id was run.
   int runs(const std::string &AttemptId) const;
+  /// Returns how many requests were run in total.
   int runs() const;
-  /// The head of the last request that ran.
+  /// Head and body of the last request that was run.
   const http_head &lastHead() const { return LastHead; }
   const std::string &lastBody() const { return LastBody; }
   size_t connections() const { return Connections.size(); }
-  /// Requests at work whose caller left.
+  /// Number of requests whose connection the client closed before the response
+  /// was complete.
   int cancelled() const { return Cancelled; }
-  /// Ends all connections and takes no more.
+  /// Closes all connections and stops listening.
   void crash();
   bool crashed() const { return Crashed; }
 
-  /// The share that doubts itself: answers below it say a low confidence.
+  /// Confidence reported with each response, from 0 to 1.
   double Confidence = 0.9;
-  bool Fails = false;       ///< Every request, with 500.
-  bool Refuses = false;     ///< Every request, as not run.
-  std::string RetryAfter;   ///< Told with each refusal; empty: not told.
-  bool SaysLeaving = false; ///< With every answer.
-  /// What it says of itself: requests that run, that wait, and slots.
+  bool Fails = false;     ///< Responds to each request with status 500.
+  bool Refuses = false;   ///< Refuses each request as not run.
+  std::string RetryAfter; ///< Retry-After of refusals; empty: no such header.
+  /// Announces with each response that the upstream is shutting down.
+  bool SaysLeaving = false;
+  /// Load reported with each response: running requests, waiting requests,
+  /// slots.
   std::string Load = "1,0,8";
 
 private:
@@ -78,14 +95,14 @@
     http_reader Reader;
     timer Later;
     std::string Body;
-    std::string Answer; ///< Given when the time is over.
+    std::string Answer; ///< Sent when Later fires.
     int NextEvent = 0;
     int LastEvent = 0;
     int BreakAfter = -1;
     bool Working = false;
     bool CloseAfter = false;
     bool Dead = false;
-    bool Crashes = false; ///< Where its stream breaks.
+    bool Crashes = false; ///< The upstream crashes after event BreakAfter.
   };
 
   void receive(connection &Connection, std::string_view Bytes);
@@ -105,30 +122,32 @@
   std::map<std::string, int> Runs;
   http_head LastHead;
   std::string LastBody;
-  std::vector<double> ArrivedAt; ///< Steady seconds.
+  std::vector<double> ArrivedAt; ///< Seconds of the steady clock.
   int Cancelled = 0;
   bool Crashed = false;
 };
 
-/// The platform's list of upstreams.
+/// Simulates the HTTP service with the platform's list of upstreams.
 class upstream_list_stand_in {
 public:
   explicit upstream_list_stand_in(struct ev_loop *Loop,
                                   const std::string &At = "127.0.0.1:0");
   const std::string &address() const { return Address; }
-  /// \p At: where callers are sent, as a proxy on the way.
+  /// Lists an upstream, or replaces its entry. \p At is the address that the
+  /// list gives, such as that of a proxy in front of the upstream.
   void put(const replica &Replica, const std::string &At,
            const std::string &State = "ready");
   void remove(const std::string &Id) { Entries.erase(Id); }
   void setCold(const std::string &Id, double Seconds);
-  /// Anything in the place of an entry, as another writer may leave it.
+  /// Adds an arbitrary value in place of an entry, to test invalid lists.
   void putRaw(const std::string &Key, const json &Entry) {
     Entries[Key] = Entry;
   }
   json entryOf(const std::string &Id) const { return Entries.at(Id); }
-  std::string Garbage; ///< Put before the entries of each page as it is.
-  int Refusals = 0;    ///< So many of the next questions get 429.
-  int Questions = 0;
+  /// Text inserted before the entries of each page, without any escaping.
+  std::string Garbage;
+  int Refusals = 0;  ///< Number of following requests that get status 429.
+  int Questions = 0; ///< Number of requests received.
 
 private:
   std::map<std::string, json> Entries;
--- a/tests/soak.cpp
+++ b/tests/soak.cpp
@@ -1,11 +1,12 @@
 //===- soak.cpp - Random faults on real processes -------------------------===//
 //
-// Runs control VMs and gateways as processes of their own, with callers and
-// upstreams in this one. Faults come from outside: signals, a proxy on the way
-// to each upstream, upstreams that crash, leave and come back, odd entries in
-// the list, changes in series. They overlap. What callers were told is held
-// against what upstreams ran. One seed a run, named by OLIVEVALVE_SEED;
-// scripts/soak runs many.
+// Runs control VMs and gateways as processes; clients and upstreams are
+// simulated in the test process. Random, overlapping faults are injected:
+// signals, network faults between gateways and upstreams, upstreams that crash
+// or are drained and replaced, invalid entries in the upstream list, and series
+// of routing changes. The responses that clients received are then compared
+// with what the upstreams ran. A run uses the seed OLIVEVALVE_SEED;
+// scripts/soak runs many seeds.
 //
 //===----------------------------------------------------------------------===//
 
@@ -26,12 +27,12 @@
 constexpr size_t UpstreamCount = 4;
 constexpr size_t OpenRequests = 16;
 constexpr double FaultSeconds = 9;
-// A leaving upstream may hear of requests so long. Gateways promise some 3 s;
-// the rest is for machines that are busy.
-constexpr double LeaveSeconds = 10;
-constexpr double CallerSeconds = 6;
-// Then the operator goes on without knowing.
-constexpr double OperatorSeconds = 3;
+// A draining upstream may still receive requests for this long. Gateways need
+// up to some 3 s; the rest allows for a busy machine.
+constexpr double DrainSeconds = 10;
+constexpr double ClientTimeoutSeconds = 6;
+// After this time a routing change is given up, whether it took effect or not.
+constexpr double OperatorTimeoutSeconds = 3;
 constexpr int StreamEvents = 6;
 
 uint64_t seedOf() {
@@ -39,28 +40,29 @@
   return Text ? std::strtoull(Text, nullptr, 10) : 1;
 }
 
-/// One gateway process, over all its lives.
-struct soaked_gateway {
+/// A gateway and its present process. Each start of a process begins a new
+/// life.
+struct gateway_under_test {
   reserved_address Address;
   reserved_address Health;
   std::unique_ptr<daemon_process> Process;
-  uint64_t AckedAtStart = 0; ///< The marker acknowledged before this life.
-  uint64_t NewestSeen = 0;   ///< The newest marker that it served in this life.
-  int Life = 0;
-  int Stops = 0;         ///< How often this life was told to end.
-  bool Answered = false; ///< Somebody, in this life.
-  /// A SIGHUP came before the first instruction of the program, which could
-  /// not have taken it: for some 0.015 s after the start, longer on a busy
-  /// machine.
-  bool HungUpUnborn = false;
-
-  /// A second order ends it at once, and one that comes before it has begun
-  /// finds nobody who could wait for anything.
-  bool mayEndWith(int Code) const {
-    constexpr int EndedAtOnce = 4;
-    return (Code == 0 && Stops > 0) || (Code == EndedAtOnce && Stops > 1) ||
+  uint64_t AckedAtStart = 0; ///< Last marker acknowledged before this life.
+  uint64_t NewestSeen = 0;   ///< Newest marker served in this life.
+  int Life = 0;              ///< Number of starts.
+  int Stops = 0;             ///< SIGTERMs sent in this life.
+  bool Answered = false;     ///< Has sent a response in this life.
+  /// A SIGHUP was sent before the program had installed its signal handlers,
+  /// which takes some 0.015 s after the start, longer on a busy machine.
+  bool EarlySighup = false;
+
+  /// Returns whether the signals sent explain this exit code. A second SIGTERM
+  /// makes the gateway exit at once, with code 4; one sent before the handlers
+  /// are installed terminates the process.
+  bool mayExitWith(int Code) const {
+    constexpr int ExitedAtOnce = 4;
+    return (Code == 0 && Stops > 0) || (Code == ExitedAtOnce && Stops > 1) ||
            (Code == 128 + SIGTERM && Stops > 0 && !Answered) ||
-           (Code == 128 + SIGHUP && HungUpUnborn);
+           (Code == 128 + SIGHUP && EarlySighup);
   }
 };
 
@@ -72,15 +74,16 @@
   Last = Marker
 };
 
-struct soaked_request {
+struct sent_request {
   std::string Id;
   request_kind Kind = request_kind::Safe;
   size_t Gateway = 0;
   int Life = 0;
-  uint64_t Marker = 0; ///< The route asked for, of the kind Marker.
+  uint64_t Marker = 0; ///< Number of the route, for the kind Marker.
   std::shared_ptr<caller_answer> Answer;
 };
 
+// Returns the text of a stream's events 1 to Last.
 std::string eventsUpTo(int Last) {
   std::string Text;
   for (int I = 1; I <= Last; ++I)
@@ -89,6 +92,7 @@
   return Text;
 }
 
+/// One run: the processes, the clients, the faults and the checks.
 class soak : public gateway_world {
 public:
   explicit soak(uint64_t Seed) : Random(Seed) {
@@ -98,7 +102,7 @@
     Large = chance(0.4);
     changeRouting();
     for (size_t I = 0; I < GatewayCount; ++I) {
-      Gateways.push_back(std::make_unique<soaked_gateway>());
+      Gateways.push_back(std::make_unique<gateway_under_test>());
       startLife(I);
     }
     for (auto &Each : Gateways)
@@ -112,7 +116,7 @@
   void play() {
     double End = steadySeconds() + FaultSeconds;
     while (steadySeconds() < End) {
-      oneFault();
+      injectFault();
       double Pause = std::uniform_real_distribution<double>(0.02, 0.5)(Random);
       double Until = steadySeconds() + Pause;
       until(
@@ -123,31 +127,31 @@
           },
           60);
     }
-    heal();
-    recover();
-    for (const soaked_request &Each : Judged)
-      judgeRuns(Each);
+    endFaults();
+    checkRecovery();
+    for (const sent_request &Each : Checked)
+      checkRuns(Each);
   }
 
   void print(std::ostream &Out) const {
-    Out << "requests " << Judged.size() << " served " << Served << " not_run "
+    Out << "requests " << Checked.size() << " served " << Served << " not_run "
         << NotRun << " faults " << Faults << " changes " << NewestMarker
-        << " broken " << Broken << "\n";
+        << " broken " << Violations << "\n";
   }
-  size_t broken() const { return Broken; }
+  size_t violations() const { return Violations; }
 
 private:
-  bool chance(double Part) {
-    return std::uniform_real_distribution<double>(0, 1)(Random) < Part;
+  bool chance(double Probability) {
+    return std::uniform_real_distribution<double>(0, 1)(Random) < Probability;
   }
   size_t below(size_t Count) { return size_t(Random() % Count); }
 
-  void breaks(const std::string &What) {
-    ++Broken;
+  void reportViolation(const std::string &What) {
+    ++Violations;
     BOOST_ERROR(What);
   }
 
-  // ---- the world ----
+  // ---- Processes and routing ----
 
   void addUpstream() {
     std::string Id = "i-" + std::to_string(++Upstreams);
@@ -155,20 +159,21 @@
     Listed.push_back(Id);
   }
 
-  void startLife(size_t Place) {
-    soaked_gateway &Each = *Gateways[Place];
+  void startLife(size_t Index) {
+    gateway_under_test &Each = *Gateways[Index];
     Each.AckedAtStart = AckedMarker;
     Each.NewestSeen = 0;
     Each.Stops = 0;
-    Each.Answered = Each.HungUpUnborn = false;
+    Each.Answered = Each.EarlySighup = false;
     ++Each.Life;
     if (!Each.Process)
-      Each.Process = makeGateway("gateway-" + std::to_string(Place + 1),
+      Each.Process = makeGateway("gateway-" + std::to_string(Index + 1),
                                  Each.Address, Each.Health);
     Each.Process->start();
   }
 
-  // Each version has a route of its own, and only that of its number.
+  // Sends a new routing. Each version has one marker route whose path contains
+  // the marker's number, so that a response shows which version is in effect.
   void changeRouting() {
     json Routing = Large ? largeRouting(300) : usualRouting();
     uint64_t Marker = ++NewestMarker;
@@ -176,42 +181,42 @@
     Route["name"] = "marker";
     Route["path_prefix"] = "/mark-" + std::to_string(Marker) + "/";
     Routing["routes"].push_back(Route);
-    if (putRouting(Routing, OperatorSeconds).Status == 200)
+    if (putRouting(Routing, OperatorTimeoutSeconds).Status == 200)
       AckedMarker = Marker;
   }
 
-  // ---- faults ----
+  // ---- Faults ----
 
-  void oneFault() {
+  void injectFault() {
     ++Faults;
     using fault = void (soak::*)();
     constexpr fault All[] = {
         &soak::killGateway,   &soak::stopGateway,    &soak::pauseGateway,
         &soak::killControl,   &soak::killAllControl, &soak::pauseControl,
-        &soak::harmPath,      &soak::harmPath,       &soak::crashUpstream,
-        &soak::leaveUpstream, &soak::changeSeries,   &soak::changeSeries,
-        &soak::hangUp,        &soak::oddList,        &soak::listRefuses};
+        &soak::disturbPath,   &soak::disturbPath,    &soak::crashUpstream,
+        &soak::drainUpstream, &soak::changeSeries,   &soak::changeSeries,
+        &soak::sendSighup,    &soak::corruptList,    &soak::refuseListRequests};
     (this->*All[below(std::size(All))])();
   }
 
   void killGateway() {
-    size_t Place = below(GatewayCount);
-    Gateways[Place]->Process->kill();
-    later(0.3, [this, Place] {
-      if (Gateways[Place]->Process->pid() <= 0)
-        startLife(Place);
+    size_t Index = below(GatewayCount);
+    Gateways[Index]->Process->kill();
+    schedule(0.3, [this, Index] {
+      if (Gateways[Index]->Process->pid() <= 0)
+        startLife(Index);
     });
   }
 
   void stopGateway() {
-    soaked_gateway &Each = *Gateways[below(GatewayCount)];
+    gateway_under_test &Each = *Gateways[below(GatewayCount)];
     ++Each.Stops;
     Each.Process->signal(SIGTERM);
   }
 
   void pauseGateway() {
-    size_t Place = below(GatewayCount);
-    pause(*Gateways[Place]->Process);
+    size_t Index = below(GatewayCount);
+    pause(*Gateways[Index]->Process);
   }
 
   void pause(daemon_process &Process) {
@@ -220,8 +225,8 @@
       return;
     Process.signal(SIGSTOP);
     double Seconds = std::uniform_real_distribution<double>(0.1, 2)(Random);
-    // A process that was killed meanwhile has another number.
-    later(Seconds, [&Process, Pid] {
+    // If the process was killed meanwhile, its successor has another pid.
+    schedule(Seconds, [&Process, Pid] {
       if (Process.pid() == Pid)
         Process.signal(SIGCONT);
     });
@@ -236,41 +241,41 @@
     if (!Node.Process->running())
       return;
     Node.Process->kill();
-    later(0.1 + 0.1 * double(below(8)), [&Node] {
+    schedule(0.1 + 0.1 * double(below(8)), [&Node] {
       if (!Node.Process->running())
         Node.Process->start();
     });
   }
   void pauseControl() { pause(*Seeded[below(Seeded.size())]->Process); }
 
-  void harmPath() {
+  void disturbPath() {
     constexpr proxy_fault Faults[] = {
         proxy_fault::Cut,          proxy_fault::Hole,
         proxy_fault::Drip,         proxy_fault::Slow,
         proxy_fault::HoleToServer, proxy_fault::HoleToClient};
     std::string Id = Listed[below(Listed.size())];
     Paths[Id]->set(Faults[below(std::size(Faults))]);
-    later(0.2 + 0.2 * double(below(8)),
-          [this, Id] { Paths[Id]->set(proxy_fault::None); });
+    schedule(0.2 + 0.2 * double(below(8)),
+             [this, Id] { Paths[Id]->set(proxy_fault::None); });
   }
 
   void crashUpstream() {
-    size_t Place = below(Listed.size());
-    std::string Id = Listed[Place];
+    size_t Index = below(Listed.size());
+    std::string Id = Listed[Index];
     Replicas[Id]->crash();
-    Listed.erase(Listed.begin() + ptrdiff_t(Place));
-    // The list shows it for a while.
-    later(1, [this, Id] { List->remove(Id); });
+    Listed.erase(Listed.begin() + ptrdiff_t(Index));
+    // The platform's list still contains a crashed upstream for a while.
+    schedule(1, [this, Id] { List->remove(Id); });
     addUpstream();
   }
 
-  void leaveUpstream() {
-    size_t Place = below(Listed.size());
-    std::string Id = Listed[Place];
-    Listed.erase(Listed.begin() + ptrdiff_t(Place));
+  void drainUpstream() {
+    size_t Index = below(Listed.size());
+    std::string Id = Listed[Index];
+    Listed.erase(Listed.begin() + ptrdiff_t(Index));
     addUpstream();
     List->put(*Replicas[Id], Paths[Id]->address(), "draining");
-    later(LeaveSeconds, [this, Id] { Left[Id] = Replicas[Id]->runs(); });
+    schedule(DrainSeconds, [this, Id] { Drained[Id] = Replicas[Id]->runs(); });
   }
 
   void changeSeries() {
@@ -278,66 +283,69 @@
       changeRouting();
   }
 
-  void hangUp() {
-    soaked_gateway &Each = *Gateways[below(GatewayCount)];
-    Each.HungUpUnborn = Each.HungUpUnborn || !Each.Process->handles(SIGHUP);
+  void sendSighup() {
+    gateway_under_test &Each = *Gateways[below(GatewayCount)];
+    Each.EarlySighup = Each.EarlySighup || !Each.Process->handles(SIGHUP);
     Each.Process->signal(SIGHUP);
   }
 
-  void oddList() {
+  void corruptList() {
     List->putRaw("i-odd", {{"id", below(3)}, {"state", "ready"}});
     List->Garbage = chance(0.5) ? "{\"id\":\"\xff\"}," : "7,";
-    later(1, [this] {
+    schedule(1, [this] {
       List->remove("i-odd");
       List->Garbage.clear();
     });
   }
 
-  void listRefuses() { List->Refusals += int(below(6)); }
+  void refuseListRequests() { List->Refusals += int(below(6)); }
 
-  void later(double Seconds, std::function<void()> Do) {
-    Later.emplace(steadySeconds() + Seconds, std::move(Do));
+  void schedule(double Seconds, std::function<void()> Action) {
+    Scheduled.emplace(steadySeconds() + Seconds, std::move(Action));
   }
 
-  // ---- callers ----
+  // ---- Clients ----
 
+  // Runs due actions, restarts stopped gateways, checks finished requests and
+  // sends new ones.
   void turn() {
-    runLater();
+    runScheduled();
     for (size_t I = 0; I < GatewayCount; ++I)
-      watchProcess(I);
-    std::erase_if(Open, [&](soaked_request &Each) {
+      checkProcess(I);
+    std::erase_if(Open, [&](sent_request &Each) {
       if (!Each.Answer->Done)
         return false;
-      judge(Each);
-      Judged.push_back(std::move(Each));
+      check(Each);
+      Checked.push_back(std::move(Each));
       return true;
     });
     while (Open.size() < OpenRequests)
-      ask();
+      send();
   }
 
-  void runLater() {
-    while (!Later.empty() && Later.begin()->first <= steadySeconds()) {
-      auto Do = std::move(Later.begin()->second);
-      Later.erase(Later.begin());
-      Do();
+  void runScheduled() {
+    while (!Scheduled.empty() && Scheduled.begin()->first <= steadySeconds()) {
+      auto Action = std::move(Scheduled.begin()->second);
+      Scheduled.erase(Scheduled.begin());
+      Action();
     }
   }
 
-  // One that was told to stop starts again; nobody ends by itself.
-  void watchProcess(size_t Place) {
-    soaked_gateway &Each = *Gateways[Place];
+  // Restarts a gateway that was sent a signal and has exited; an exit without a
+  // signal is a violation.
+  void checkProcess(size_t Index) {
+    gateway_under_test &Each = *Gateways[Index];
     bool WasKilled = Each.Process->pid() <= 0;
     if (WasKilled || Each.Process->running())
       return;
-    if (!Each.mayEndWith(Each.Process->exitCode()))
-      breaks("a gateway ended by itself with code " +
-             std::to_string(Each.Process->exitCode()));
-    startLife(Place);
+    if (!Each.mayExitWith(Each.Process->exitCode()))
+      reportViolation("a gateway terminated unexpectedly with code " +
+                      std::to_string(Each.Process->exitCode()));
+    startLife(Index);
   }
 
-  void ask() {
-    soaked_request Request;
+  void send() {
+    sent_request Request;
     Request.Kind = request_kind(below(size_t(request_kind::Last) + 1));
     Request.Gateway = below(GatewayCount);
     Request.Life = Gateways[Request.Gateway]->Life;
@@ -348,7 +356,7 @@
       Path = "/safe/x?late=" + std::to_string(below(40));
       break;
     case request_kind::Unsafe:
-      // Long enough that faults meet it at work.
+      // Long enough for faults to occur while it is being processed.
       Path = "/unsafe/x?late=" + std::to_string(below(400));
       break;
     case request_kind::Stream:
@@ -368,78 +376,83 @@
          .Key = "",
          .Headers = {"Host: a.example", "X-Credential: k1",
                      "X-Deadline-Ms: 4000", "X-Attempt-Id: " + Request.Id},
-         .Seconds = CallerSeconds});
+         .Seconds = ClientTimeoutSeconds});
     Open.push_back(std::move(Request));
   }
 
-  void judge(const soaked_request &Request) {
+  void check(const sent_request &Request) {
     const caller_answer &Answer = *Request.Answer;
-    soaked_gateway &Asked = *Gateways[Request.Gateway];
-    if (Answer.Status != 0 && Asked.Life == Request.Life)
-      Asked.Answered = true;
-    bool Whole = Answer.Error.empty();
-    Served += Whole && Answer.Status == 200;
-    NotRun += Whole && Answer.Status == 503;
+    gateway_under_test &Target = *Gateways[Request.Gateway];
+    if (Answer.Status != 0 && Target.Life == Request.Life)
+      Target.Answered = true;
+    bool Complete = Answer.Error.empty();
+    Served += Complete && Answer.Status == 200;
+    NotRun += Complete && Answer.Status == 503;
     if (Answer.Status != 200)
       return;
     if (Request.Kind == request_kind::Stream)
-      judgeStream(Request, Whole);
-    else if (Whole && !Answer.Body.ends_with("got of " + Request.Id + "."))
-      breaks("another's answer for " + Request.Id + ": " + Answer.Body);
+      checkStream(Request, Complete);
+    else if (Complete && !Answer.Body.ends_with("got of " + Request.Id + "."))
+      reportViolation("response to another request for " + Request.Id + ": " +
+                      Answer.Body);
     if (Request.Kind == request_kind::Marker)
-      judgeMarker(Request);
+      checkMarker(Request);
   }
 
-  void judgeStream(const soaked_request &Request, bool Whole) {
+  void checkStream(const sent_request &Request, bool Complete) {
     std::string All = eventsUpTo(StreamEvents);
     const std::string &Body = Request.Answer->Body;
-    bool Good = Whole ? Body == All : All.starts_with(Body);
+    bool Good = Complete ? Body == All : All.starts_with(Body);
     if (!Good)
-      breaks("a stream with pieces lost or doubled, " + Request.Id + ": " +
-             Body);
+      reportViolation("a stream with lost or repeated events, " + Request.Id +
+                      ": " + Body);
   }
 
-  // Never an older version than one that this life has shown, or that had been
-  // acknowledged before it began.
-  void judgeMarker(const soaked_request &Request) {
-    soaked_gateway &Each = *Gateways[Request.Gateway];
+  // A gateway must not serve an older routing than the last one that was
+  // acknowledged before the gateway's present life began.
+  void checkMarker(const sent_request &Request) {
+    gateway_under_test &Each = *Gateways[Request.Gateway];
     if (Each.Life != Request.Life)
       return;
     if (Request.Marker < Each.AckedAtStart)
-      breaks("marker " + std::to_string(Request.Marker) + " from a gateway " +
-             "that started after " + std::to_string(Each.AckedAtStart) +
-             " was acknowledged");
+      reportViolation("marker " + std::to_string(Request.Marker) +
+                      " served by a gateway " + "that started after " +
+                      std::to_string(Each.AckedAtStart) + " was acknowledged");
     Each.NewestSeen = std::max(Each.NewestSeen, Request.Marker);
   }
 
-  void judgeRuns(const soaked_request &Request) {
+  // A request to an unsafe route must run at most once, and not at all if the
+  // client got status 503.
+  void checkRuns(const sent_request &Request) {
     int Runs = 0;
     for (auto &[Id, Replica] : Replicas)
       Runs += Replica->runs(Request.Id);
     if (Request.Kind == request_kind::Unsafe && Runs > 1)
-      breaks(Request.Id + " ran " + std::to_string(Runs) + " times");
+      reportViolation(Request.Id + " ran " + std::to_string(Runs) + " times");
     if (Request.Kind == request_kind::Unsafe && Runs > 0 &&
         Request.Answer->Status == 503)
-      breaks(Request.Id + " was called not run, and ran");
+      reportViolation(Request.Id + " was reported as not run, but ran");
   }
 
-  // ---- the end ----
+  // ---- End of the run ----
 
-  void heal() {
-    double Last = steadySeconds() + LeaveSeconds + 0.1;
+  // Waits until all faults have ended.
+  void endFaults() {
+    double Last = steadySeconds() + DrainSeconds + 0.1;
     until(
-        "all faults are over",
+        "all faults have ended",
         [&] {
           turn();
-          return Later.empty() || steadySeconds() > Last;
+          return Scheduled.empty() || steadySeconds() > Last;
         },
         60);
     List->Refusals = 0;
     changeRouting();
   }
 
-  // Every gateway serves every kind again, under the newest version.
-  void recover() {
+  // Each gateway must serve safe and unsafe routes again, and the marker route
+  // of the newest routing.
+  void checkRecovery() {
     std::string Newest = "/mark-" + std::to_string(NewestMarker) + "/x";
     for (size_t I = 0; I < GatewayCount; ++I)
       for (const std::string &Path :
@@ -451,25 +464,26 @@
               return statusAt(I, Path) == 200;
             },
             40);
-    until("the last requests end", [&] {
-      runLater();
+    until("the last requests are complete", [&] {
+      runScheduled();
       return std::all_of(Open.begin(), Open.end(),
                          [](const auto &Each) { return Each.Answer->Done; });
     });
-    for (soaked_request &Each : Open) {
-      judge(Each);
-      Judged.push_back(Each);
+    for (sent_request &Each : Open) {
+      check(Each);
+      Checked.push_back(Each);
     }
-    for (const auto &[Id, Runs] : Left)
+    for (const auto &[Id, Runs] : Drained)
       if (Replicas[Id]->runs() != Runs)
-        breaks("upstream " + Id + " got new work long after it left");
+        reportViolation("upstream " + Id +
+                        " received requests long after it was drained");
     for (auto &Node : Seeded)
       if (!Node->Process->running())
-        breaks("a control VM ended by itself");
+        reportViolation("a control VM terminated unexpectedly");
   }
 
-  int statusAt(size_t Place, const std::string &Path) {
-    return call(Gateways[Place]->Address.text(),
+  int statusAt(size_t Index, const std::string &Path) {
+    return call(Gateways[Index]->Address.text(),
                 {.Path = Path,
                  .Key = "",
                  .Headers = {"Host: a.example", "X-Credential: k1",
@@ -479,20 +493,21 @@
   }
 
   std::mt19937_64 Random;
-  std::vector<std::unique_ptr<soaked_gateway>> Gateways;
-  std::vector<std::string> Listed; ///< Upstreams that are well.
-  std::map<std::string, int> Left; ///< Runs when the time to leave was over.
-  std::multimap<double, std::function<void()>> Later;
-  std::list<soaked_request> Open;
-  std::vector<soaked_request> Judged;
-  uint64_t NewestMarker = 0;
-  uint64_t AckedMarker = 0;
-  size_t Upstreams = 0;
-  bool Large = false;
+  std::vector<std::unique_ptr<gateway_under_test>> Gateways;
+  std::vector<std::string> Listed; ///< Upstreams that accept requests.
+  /// Number of runs of each drained upstream when its draining time was over.
+  std::map<std::string, int> Drained;
+  std::multimap<double, std::function<void()>> Scheduled; ///< By due time.
+  std::list<sent_request> Open;
+  std::vector<sent_request> Checked;
+  uint64_t NewestMarker = 0; ///< Of the last routing that was sent.
+  uint64_t AckedMarker = 0;  ///< Of the last routing that was acknowledged.
+  size_t Upstreams = 0;      ///< Number of upstreams started so far.
+  bool Large = false;        ///< Routings have 300 additional routes.
   size_t Faults = 0;
   size_t Served = 0;
   size_t NotRun = 0;
-  size_t Broken = 0;
+  size_t Violations = 0;
 };
 
 } // namespace
@@ -503,5 +518,5 @@
   Soak.play();
   std::cout << "seed " << Seed << " ";
   Soak.print(std::cout);
-  BOOST_TEST(Soak.broken() == 0U);
+  BOOST_TEST(Soak.violations() == 0U);
 }
--- a/tests/stand_in.cpp
+++ b/tests/stand_in.cpp
@@ -1,4 +1,4 @@
-//===- stand_in.cpp - Small engines, services and ratings -----------------===//
+//===- stand_in.cpp - Simulated engine, service and rating service --------===//
 
 #include "tests/stand_in.h"
 #include "base/digest.h"
@@ -12,7 +12,7 @@
 constexpr const char *Json = "application/json";
 constexpr double BytesPerToken = 4;
 
-// The number after "name=" in a prompt.
+// Returns the number after "name=" in a prompt, or the default.
 double directive(const std::string &Prompt, const std::string &Name,
                  double Default) {
   size_t At = Prompt.find(Name + "=");
@@ -67,7 +67,8 @@
   serve(Exchange);
 }
 
-// How good an answer is: the model's quality, less for hard prompts.
+// Returns the score of a response: the model's quality, varied by up to 0.1
+// with a hash of prompt and model.
 double stand_in::quality(const std::string &Model,
                          const std::string &Prompt) const {
   auto It = Qualities.find(Model);
@@ -89,14 +90,14 @@
   ++Runs[Model];
   if (directive(Prompt, "crash", 0) > 0) {
     Crashes = true;
-    return; // Without an answer.
+    return; // The client gets no response.
   }
   auto Fails = Failing.find(Model);
   int Status = int(directive(Prompt, "fail", 0));
   if (Fails != Failing.end())
     Status = Fails->second;
   if (Status)
-    return Exchange->reply(Status, Json, "{\"error\":\"told to fail\"}");
+    return Exchange->reply(Status, Json, "{\"error\":\"failure requested\"}");
   generation &G =
       Generations.emplace_back(Loop, [this](generation &Self) { step(Self); });
   generation *Raw = &G;
@@ -197,7 +198,7 @@
   Exchange->reply(200, Json, json({{"score", Score}}).dump());
 }
 
-// A plain service: each run with its key counts.
+// The plain service. Counts the runs by Idempotency-Key.
 void stand_in::serve(const exchange &Exchange) {
   std::string Key = Exchange->header("Idempotency-Key");
   ++Started;
@@ -229,7 +230,8 @@
   Raw->Timer.startOnce(Wait);
 }
 
-// The versions held: GET tells them, PUT orders others under a fence.
+// The loaded versions. GET returns them; PUT orders other versions with a
+// fencing token.
 void stand_in::models(const exchange &Exchange) {
   json Body = json::parse(Exchange->body(), nullptr, false);
   if (Exchange->method() == "PUT") {
@@ -255,7 +257,8 @@
       return Loading.startOnce(Options.LoadSeconds);
 }
 
-// GET tells the counts; PUT sets qualities, failing models, ratings on or off.
+// GET returns the counters; PUT sets qualities and failing models, turns
+// ratings on or off, and can make the engine forget its models.
 void stand_in::control(const exchange &Exchange) {
   json Body = json::parse(Exchange->body(), nullptr, false);
   if (Body.is_object()) {
@@ -270,7 +273,7 @@
         Failing.erase(Model);
     }
     RatingsOff = Body.value("ratings_off", RatingsOff);
-    // As an engine that has started anew.
+    // Simulates a restart of the engine.
     if (Body.value("forget_models", false)) {
       Fence = 0;
       Wanted.clear();
--- a/tests/stand_in.h
+++ b/tests/stand_in.h
@@ -1,13 +1,19 @@
-//===- stand_in.h - Small engines, services and ratings ---------*- C++ -*-===//
+//===- stand_in.h - Simulated engine, service and ratings -------*- C++ -*-===//
 //
-// Stands in for a model engine, a plain service and the rating service at the
-// published contracts of docs/INTERFACES.md. Counts every run, so that tests
-// can hold what callers were told against what happened.
+// Simulates a model engine, a plain service and the rating service with the
+// HTTP interfaces of docs/INTERFACES.md. Counts each run, so that tests can
+// compare the responses that clients received with what was run.
 //
-// A prompt may steer the engine: "tokens=40", "gap=5" (ms between tokens),
-// "first=20" (ms), "fail=500", "cut=3" (breaks off after so many tokens),
-// "pad=1000" (bytes more in each token of a stream), "crash=1" (the engine is
-// to end at once: whoever owns it does so).
+// The text of a prompt selects the engine's behaviour:
+//   tokens=40   number of tokens generated
+//   first=20    milliseconds to the first token
+//   gap=5       milliseconds between tokens
+//   fail=500    responds with this status
+//   cut=3       breaks the response off after this number of tokens
+//   pad=1000    additional bytes sent with each token of a stream
+//   crash=1     gives no response and sets crashes(); the owner then has to
+//               destroy the engine
+// The plain service reads "first" from the request's body.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,24 +28,28 @@
 
 namespace olivevalve {
 
+/// Defaults for prompts that say nothing else.
 struct stand_in_options {
   std::string Address = "127.0.0.1:0";
   double FirstTokenSeconds = 0.005;
   double GapSeconds = 0.001;
   int Tokens = 8;
-  double LoadSeconds = 0.3; ///< To load one version, one after another.
+  /// Time to load one version. Versions are loaded one after another.
+  double LoadSeconds = 0.3;
 };
 
+/// An HTTP server for the three simulated services.
 class stand_in {
 public:
   stand_in(struct ev_loop *Loop, stand_in_options Options);
   bool bind() { return Server.bind(Options.Address); }
   std::string address() const { return Server.address(); }
-  /// A request came that it does not survive.
+  /// Returns whether a request with "crash=1" was received.
   bool crashes() const { return Crashes; }
 
 private:
   using exchange = std::shared_ptr<http_exchange>;
+  /// A response in progress.
   struct generation {
     generation(struct ev_loop *Loop, std::function<void(generation &)> Step)
         : Timer(Loop, [this, Step = std::move(Step)] { Step(*this); }) {}
@@ -49,8 +59,8 @@
     bool Stream = false;
     int Tokens = 0;
     int Sent = 0;
-    int CutAfter = -1;
-    double Gap = 0;
+    int CutAfter = -1; ///< Tokens; -1: not cut.
+    double Gap = 0;    ///< Seconds between tokens.
     size_t PromptTokens = 0;
     size_t Pad = 0;
     std::string Text;
@@ -76,21 +86,23 @@
   std::vector<std::list<generation>::iterator> Dead;
   before_wait Prepare;
   std::map<std::string, double> Qualities; ///< By model name.
-  std::map<std::string, int> Failing;      ///< Models that answer so.
-  std::map<std::string, uint64_t> Runs;    ///< By model or service key.
+  std::map<std::string, int> Failing;      ///< Error status by model name.
+  /// Number of runs by model name, or by "service " and Idempotency-Key.
+  std::map<std::string, uint64_t> Runs;
   uint64_t Started = 0;
   uint64_t Finished = 0;
   uint64_t Cancelled = 0;
   uint64_t Rated = 0;
-  uint64_t Taken = 0; ///< Chunks of streams that the sidecar has read.
+  uint64_t Taken = 0; ///< Chunks of streams that were written to the socket.
   bool RatingsOff = false;
   bool Crashes = false;
-  /// Set by the first order of versions: only these are served then.
+  /// Set by the first PUT /models; from then on only loaded versions are
+  /// served.
   bool Managed = false;
-  uint64_t Fence = 0;
-  uint64_t StaleOrders = 0; ///< With a fence below one that was taken.
-  uint64_t Unheld = 0;      ///< Requests for a version that is not loaded.
-  std::set<std::string> Wanted;
+  uint64_t Fence = 0;           ///< Fencing token of the last accepted order.
+  uint64_t StaleOrders = 0;     ///< Orders rejected because of a lower fence.
+  uint64_t Unheld = 0;          ///< Requests for a version that is not loaded.
+  std::set<std::string> Wanted; ///< Versions of the last accepted order.
   std::set<std::string> Loaded;
   timer Loading;
 };
--- a/tests/stand_in_main.cpp
+++ b/tests/stand_in_main.cpp
@@ -1,7 +1,9 @@
-//===- stand_in_main.cpp - The stand-ins as a program ---------------------===//
+//===- stand_in_main.cpp - Simulated engine as a program ------------------===//
 //
 // usage: stand_in IP:port [first-token-ms gap-ms tokens]
 //
+// Runs the simulated engine, service and rating service at the address.
+//
 //===----------------------------------------------------------------------===//
 
 #include "tests/stand_in.h"
--- a/tests/system/cascade_test.cpp
+++ b/tests/system/cascade_test.cpp
@@ -1,8 +1,9 @@
-//===- cascade_test.cpp - A larger model that does not answer -------------===//
+//===- cascade_test.cpp - A larger model that does not respond ------------===//
 //
-// A smaller model has begun to answer and doubts itself, so that a larger one
-// is asked. What the smaller one gave is ready: the caller gets it when the
-// larger one gives nothing.
+// Guards against failing a request although a usable response exists. A smaller
+// model has begun to respond with low confidence, so that the request is sent
+// to a larger one. If the larger model does not respond, the caller gets the
+// response of the smaller one as a fallback.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,10 +22,10 @@
     BOOST_REQUIRE_EQUAL(putRouting(usualRouting()).Status, 200);
     startGateway("gateway-1");
     untilGatewayReady("gateway-1");
-    until("upstreams are known",
+    until("the gateway serves requests",
           [&] { return request("/safe/x", {.Method = "GET"}).Status == 200; });
   }
-  caller_answer ask(const std::string &Query) {
+  caller_answer sendRequest(const std::string &Query) {
     return request("/stream/x?" + Query, {.Headers = {"X-Model: *"}});
   }
   int runs() {
@@ -43,52 +44,59 @@
   return Text;
 }
 
-void isWhole(const caller_answer &Answer, int Events) {
+void testComplete(const caller_answer &Answer, int Events) {
   BOOST_TEST(Answer.Status == 200);
   BOOST_TEST(Answer.Error.empty());
   BOOST_TEST(Answer.Body == eventsUpTo(Events));
 }
 
-// More than a kept answer is heard on for, at 5 ms an event.
+// At 5 ms per event, longer than the gateway goes on reading a fallback
+// response while it waits for the larger model.
 constexpr int ManyEvents = 90;
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(cascade)
 
-BOOST_AUTO_TEST_SUITE(where_the_larger_model)
+BOOST_AUTO_TEST_SUITE(if_the_larger_model)
 
-BOOST_AUTO_TEST_CASE(has_no_upstream_goes_on_with_the_smaller) {
+BOOST_AUTO_TEST_CASE(has_no_upstream_the_smaller_one_responds) {
   cascade_world World(1);
-  isWhole(World.ask("events=3"), 3);
+  testComplete(World.sendRequest("events=3"), 3);
   BOOST_TEST(World.runs() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(is_refused_gives_the_smaller_ones_answer) {
+BOOST_AUTO_TEST_CASE(refuses_the_smaller_one_responds) {
   cascade_world World(3);
   for (int Events : {3, ManyEvents})
-    isWhole(World.ask("large=refuse&events=" + std::to_string(Events)), Events);
+    testComplete(
+        World.sendRequest("large=refuse&events=" + std::to_string(Events)),
+        Events);
 }
 
-BOOST_AUTO_TEST_CASE(fails_gives_the_smaller_ones_answer) {
+BOOST_AUTO_TEST_CASE(fails_the_smaller_one_responds) {
   cascade_world World(3);
   for (int Events : {3, ManyEvents})
-    isWhole(World.ask("large=reset&events=" + std::to_string(Events)), Events);
+    testComplete(
+        World.sendRequest("large=reset&events=" + std::to_string(Events)),
+        Events);
 }
 
-BOOST_AUTO_TEST_CASE(stays_silent_gives_the_smaller_ones_answer) {
+BOOST_AUTO_TEST_CASE(sends_nothing_the_smaller_one_responds) {
   cascade_world World(3);
-  isWhole(World.ask("large=mute&events=3"), 3);
-  // Part of it is kept, the rest comes from elsewhere.
-  isWhole(World.ask("large=mute&events=" + std::to_string(ManyEvents)),
-          ManyEvents);
+  testComplete(World.sendRequest("large=mute&events=3"), 3);
+  // The gateway keeps the beginning of the fallback response and resumes the
+  // stream at another upstream.
+  testComplete(
+      World.sendRequest("large=mute&events=" + std::to_string(ManyEvents)),
+      ManyEvents);
   BOOST_TEST(World.runs() == 3);
 }
 
-BOOST_AUTO_TEST_CASE(answers_is_the_one_that_the_caller_hears) {
+BOOST_AUTO_TEST_CASE(responds_its_response_is_forwarded) {
   cascade_world World(3);
-  caller_answer Answer = World.ask("events=3");
-  isWhole(Answer, 3);
+  caller_answer Answer = World.sendRequest("events=3");
+  testComplete(Answer, 3);
   BOOST_TEST(World.runs() == 2);
   std::string Server = Answer.header("x-response-seal").substr(8);
   BOOST_TEST(*World.Replicas[Server]->lastHead().find("X-Model") == "large");
@@ -96,11 +104,11 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_CASE(leaves_nothing_at_work_when_the_caller_goes) {
+BOOST_AUTO_TEST_CASE(cancels_both_upstreams_when_the_caller_disconnects) {
   cascade_world World(3);
   auto Answer = World.beginRequest("/stream/x?large=mute&events=100000",
                                    {.Headers = {"X-Model: *"}, .Seconds = 0.2});
-  World.until("the caller has left", [&] { return Answer->Done; });
+  World.until("the caller has disconnected", [&] { return Answer->Done; });
   World.until("both upstreams have stopped", [&] {
     int Cancelled = 0;
     for (auto &[Id, Replica] : World.Replicas)
@@ -109,8 +117,10 @@
   });
 }
 
-// An upstream's "not run" is true of itself only.
-BOOST_AUTO_TEST_CASE(does_not_call_not_run_what_another_upstream_ran) {
+// Guards against reporting "not run" for a request that has run: one upstream
+// fails it and another one refuses it, and the refusal holds only for the
+// latter.
+BOOST_AUTO_TEST_CASE(does_not_report_not_run_after_another_upstream_ran_it) {
   cascade_world World(2);
   for (auto &[Id, Replica] : World.Replicas)
     Replica->Confidence = 0.9;
--- a/tests/system/configuration_test.cpp
+++ b/tests/system/configuration_test.cpp
@@ -1,4 +1,4 @@
-//===- configuration_test.cpp - Changes in force everywhere, under faults -===//
+//===- configuration_test.cpp - Configuration changes under faults --------===//
 
 #include "base/clock.h"
 #include "boost/test/unit_test.hpp"
@@ -11,13 +11,14 @@
 
 namespace {
 
+/// Seconds within which an accepted change must be in force everywhere.
 constexpr double InForceBound = 9.0;
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(configuration)
 
-BOOST_AUTO_TEST_CASE(operators_race_and_resend) {
+BOOST_AUTO_TEST_CASE(handles_concurrent_and_resent_changes) {
   world World;
   World.startControl(3);
   World.leader();
@@ -34,14 +35,15 @@
   BOOST_REQUIRE(First["in_force"] == true);
   uint64_t Index = First["index"];
 
-  BOOST_TEST_CONTEXT("of two changes of one index one wins") {
+  BOOST_TEST_CONTEXT("of two changes with the same expected index one wins") {
     json Win = World.operators("POST", "/v1/changes", Change("x", Index, "2"));
     json Lose = World.operators("POST", "/v1/changes", Change("y", Index, "3"));
     BOOST_TEST(Win["http_status"] == 200);
     BOOST_TEST(Lose["http_status"] == 409);
     BOOST_TEST(Lose["error"]["code"] == "conflict");
   }
-  BOOST_TEST_CONTEXT("a resend gets the first answer, after a new leader too") {
+  BOOST_TEST_CONTEXT(
+      "a resend gets the first response, also from a new leader") {
     World.leader().Process->kill();
     World.leader();
     json Again = World.operators("POST", "/v1/changes", Change("one", 0, "1"));
@@ -60,10 +62,10 @@
 BOOST_AUTO_TEST_CASE(is_in_force_everywhere_within_the_bound) {
   using where = config_fault::where;
   const config_fault Cases[] = {
-      {"the leader cut off silently", where::LeaderHole},
-      {"an entry cut off from control", where::EntryCut},
-      {"a sidecar cut off silently", where::SidecarHole},
-      {"the leader killed", where::LeaderKilled},
+      {"the leader is cut off silently", where::LeaderHole},
+      {"an entry is disconnected from control", where::EntryCut},
+      {"a sidecar is cut off silently", where::SidecarHole},
+      {"the leader is killed", where::LeaderKilled},
   };
   for (const config_fault &Case : Cases) {
     BOOST_TEST_CONTEXT(Case.What) {
@@ -85,9 +87,9 @@
         Leader.Process->kill();
         break;
       }
-      // Requests go on while version 1 is withdrawn; none that begins after
-      // the change is in force may run on it.
-      double Asked = steadySeconds();
+      // Version 1 is withdrawn. No request that is sent after the change is in
+      // force may run on it.
+      double SentAt = steadySeconds();
       json Body = {{"change_id", "withdraw"},
                    {"changes",
                     {{{"kind", "model"},
@@ -112,7 +114,7 @@
             return !Answer.is_null();
           },
           25);
-      double Took = steadySeconds() - Asked;
+      double Took = steadySeconds() - SentAt;
       BOOST_TEST_MESSAGE(Case.What << ": in force after " << Took
                                    << " s, of which waiting for leases "
                                    << Answer["seconds"]);
@@ -147,9 +149,11 @@
   }
 }
 
-// A follower's loss is the harder one to wait for: the leader goes on, and its
-// list of voters looks whole while the lost disk still stands in it.
-BOOST_AUTO_TEST_CASE(survives_lost_disks_one_after_the_other) {
+// Guards against losing committed changes when the control VMs lose their disks
+// one after another. The loss of a follower is harder to detect than that of
+// the leader: the leader continues, and its list of voters looks complete while
+// it still contains the member without its disk.
+BOOST_AUTO_TEST_CASE(survives_successive_disk_losses) {
   world World;
   World.startUsual();
   enum class who { Follower, Leader };
@@ -157,7 +161,7 @@
   uint64_t Last = 0;
   int Round = 0;
   for (who Who : Rounds) {
-    // The next one is lost right after the last repair.
+    // The next disk is lost immediately after the previous repair.
     control_node &Leader = World.leader();
     auto Lost = std::find_if(
         World.Control.begin(), World.Control.end(), [&](const auto &Node) {
@@ -177,8 +181,9 @@
   BOOST_TEST(Objects["objects"].size() == 4U);
 }
 
-// A disk that is full ends the VM's process with a clear word; what was
-// accepted stays, the others go on, and with room again it takes part again.
+// Guards against losing accepted changes when a disk is full. The control
+// process on that VM logs the storage failure and exits with code 3, the other
+// VMs continue, and the VM votes again once there is space on its disk.
 BOOST_AUTO_TEST_CASE(a_full_disk_stops_one_vm_and_loses_nothing) {
   world World;
   World.startControl(3);
@@ -192,7 +197,8 @@
     BOOST_TEST(Answer.value("in_force", false), Answer.dump());
   };
   for (bool LeaderFull : {false, true}) {
-    BOOST_TEST_CONTEXT((LeaderFull ? "the leader's" : "a follower's")) {
+    BOOST_TEST_CONTEXT((LeaderFull ? "the leader's disk is full"
+                                   : "a follower's disk is full")) {
       for (int I = 0; I < 5; ++I)
         Put();
       control_node &Leader = World.leader();
@@ -207,7 +213,8 @@
       BOOST_REQUIRE(
           prlimit(Full.Process->pid(), RLIMIT_FSIZE, &Limit, nullptr) == 0);
       Put();
-      World.until("the process ends", [&] { return !Full.Process->running(); });
+      World.until("the process exits",
+                  [&] { return !Full.Process->running(); });
       BOOST_TEST(Full.Process->exitCode() == 3);
       BOOST_TEST(Full.Process->logText().find("storage failed") !=
                  std::string::npos);
@@ -220,10 +227,10 @@
   BOOST_TEST(Kept["objects"].size() == Objects);
 }
 
-// The operators' client leaves a control VM that stands still: within the time
-// for one call it finds the new leader, and the change is in force once the
-// leases of the old one are over.
-BOOST_AUTO_TEST_CASE(is_changed_while_the_leader_stands_still) {
+// Guards against an operator's call that waits for a frozen leader. Within the
+// timeout of one call the client turns to the other control VMs and finds the
+// new leader; the change is in force once the old leader's leases have expired.
+BOOST_AUTO_TEST_CASE(can_be_changed_while_the_leader_is_frozen) {
   world World;
   World.startUsual(3);
   control_node &Old = World.leader();
--- a/tests/system/crashes_test.cpp
+++ b/tests/system/crashes_test.cpp
@@ -1,8 +1,11 @@
 //===- crashes_test.cpp - Requests that crash the upstreams that run them -===//
 //
-// A request under which three upstreams have ended gets no further one, at no
-// gateway and through no start. What was only in company, is popular, or was
-// broken off by upstreams that live is served on.
+// Guards against a request that crashes one upstream after another. Once three
+// upstreams have crashed while processing the same request, it is quarantined
+// at all gateways, also after they restart. Requests must not be quarantined
+// because they ran next to the crashing one, because they are popular and many
+// copies run when upstreams crash for another reason, or because an upstream
+// that is still alive aborted them.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,14 +17,17 @@
 
 namespace {
 
-// By then every gateway must know, and none may send more than a few.
-constexpr double SpreadSeconds = 3;
-constexpr int EndsAllowed = 3;
-constexpr int FewMore = 3;
-constexpr int ManyTries = 8;
-const std::string Guilty = "/safe/poison?do=crash";
-const std::string GuiltyOnce = "/unsafe/poison?do=crash";
-const std::string GuiltyStream = "/stream/poison?do=crash&break=2&events=5";
+// Time by which every gateway has received the quarantine.
+constexpr double PropagationSeconds = 3;
+/// Crashes until a request is quarantined.
+constexpr int CrashesToQuarantine = 3;
+/// Limit on further crashes by copies of the request once it is quarantined.
+constexpr int MaxFurtherCrashes = 3;
+constexpr int Attempts = 8;
+const std::string CrashingPath = "/safe/poison?do=crash";
+const std::string CrashingPathNoRetry = "/unsafe/poison?do=crash";
+const std::string CrashingStreamPath =
+    "/stream/poison?do=crash&break=2&events=5";
 
 class crashing_world : public gateway_world {
 public:
@@ -44,7 +50,8 @@
       Each->Process->kill();
   }
 
-  /// Gateways reach it without a proxy: what ended refuses connections.
+  /// Gateways reach the upstream without a proxy, so that connections to it are
+  /// refused after it has crashed.
   replica &addUpstream() {
     replica &Added = addReplica({.Id = "i-" + std::to_string(++Upstreams)});
     List->put(Added, Added.address());
@@ -61,8 +68,8 @@
   void untilServing() {
     for (size_t I = 0; I < Gateways.size(); ++I) {
       until("the gateway is ready", [&] { return ready(Gateways[I]->Health); });
-      until("upstreams are known",
-            [&] { return ask("/safe/x", I).Status == 200; });
+      until("the gateway serves requests",
+            [&] { return sendRequest("/safe/x", I).Status == 200; });
     }
   }
   std::shared_ptr<caller_answer> beginAt(const std::string &Path,
@@ -76,10 +83,10 @@
          .Headers = {"Host: a.example", "X-Credential: k1",
                      "X-Deadline-Ms: 5000", "X-Attempt-Id: " + nextId()}});
   }
-  caller_answer ask(const std::string &Path, size_t Gateway = 0,
-                    const std::string &Body = "") {
+  caller_answer sendRequest(const std::string &Path, size_t Gateway = 0,
+                            const std::string &Body = "") {
     auto Answer = beginAt(Path, Gateway, Body);
-    until("an answer", [&] { return Answer->Done; });
+    until("the request is answered", [&] { return Answer->Done; });
     return *Answer;
   }
   int crashed() const {
@@ -87,21 +94,23 @@
         std::count_if(Replicas.begin(), Replicas.end(),
                       [](const auto &Each) { return Each.second->crashed(); }));
   }
-  /// Tries as a caller does until so many upstreams have ended.
+  /// Sends the request again, as a caller does, until CrashesToQuarantine
+  /// upstreams have crashed, then waits until all gateways have the quarantine.
   void untilCrashed(const std::string &Path) {
-    for (int I = 0; I < ManyTries && crashed() < EndsAllowed; ++I)
-      ask(Path, size_t(I) % Gateways.size());
-    BOOST_REQUIRE(crashed() >= EndsAllowed);
-    run(SpreadSeconds);
+    for (int I = 0; I < Attempts && crashed() < CrashesToQuarantine; ++I)
+      sendRequest(Path, size_t(I) % Gateways.size());
+    BOOST_REQUIRE(crashed() >= CrashesToQuarantine);
+    run(PropagationSeconds);
   }
-  /// Upstreams that end under so many further tries at all gateways.
-  int endsOfMoreTries(const std::string &Path) {
+  /// Number of upstreams that crash while Attempts further requests are sent,
+  /// spread over all gateways.
+  int crashesOnFurtherRequests(const std::string &Path) {
     int Before = crashed();
-    for (int I = 0; I < ManyTries; ++I)
-      ask(Path, size_t(I) % Gateways.size());
+    for (int I = 0; I < Attempts; ++I)
+      sendRequest(Path, size_t(I) % Gateways.size());
     return crashed() - Before;
   }
-  void startAllAnew() {
+  void restartAll() {
     for (auto &Each : Gateways)
       Each->Process->kill();
     for (auto &Each : Seeded)
@@ -112,8 +121,9 @@
       Each->Process->start();
     untilServing();
   }
-  /// All upstreams that run end at once and are replaced.
-  void endAll(size_t Replacements) {
+  /// Crashes all running upstreams at once and adds the given number of new
+  /// ones.
+  void crashAll(size_t Replacements) {
     for (auto &[Id, Replica] : Replicas)
       if (!Replica->crashed()) {
         Replica->crash();
@@ -134,58 +144,60 @@
 
 BOOST_AUTO_TEST_SUITE(crashing_requests)
 
-BOOST_AUTO_TEST_CASE(end_three_upstreams_and_then_no_more) {
+BOOST_AUTO_TEST_CASE(crash_three_upstreams_and_then_no_more) {
   crashing_world World(14, 1);
-  World.untilCrashed(Guilty);
-  BOOST_TEST(World.endsOfMoreTries(Guilty) <= FewMore);
-  BOOST_TEST_CONTEXT("and are refused as not run, at once") {
-    caller_answer Answer = World.ask(Guilty);
+  World.untilCrashed(CrashingPath);
+  BOOST_TEST(World.crashesOnFurtherRequests(CrashingPath) <= MaxFurtherCrashes);
+  BOOST_TEST_CONTEXT("a quarantined request is refused at once as not run") {
+    caller_answer Answer = World.sendRequest(CrashingPath);
     BOOST_TEST(Answer.Status == 503);
     BOOST_TEST(Answer.outcome() == "not-run");
     BOOST_TEST(std::atof(Answer.header("retry-after").c_str()) > 1);
   }
-  BOOST_TEST_CONTEXT("while others of the same account are served") {
-    BOOST_TEST(World.ask("/safe/other").Status == 200);
-    BOOST_TEST(World.ask("/safe/poison").Status == 200);
+  BOOST_TEST_CONTEXT("other requests of the same account are served") {
+    BOOST_TEST(World.sendRequest("/safe/other").Status == 200);
+    BOOST_TEST(World.sendRequest("/safe/poison").Status == 200);
   }
 }
 
-BOOST_AUTO_TEST_CASE(that_crash_in_their_stream_end_no_more_either) {
+BOOST_AUTO_TEST_CASE(that_crash_while_streaming_are_stopped_too) {
   crashing_world World(14, 1);
-  World.untilCrashed(GuiltyStream);
-  BOOST_TEST(World.endsOfMoreTries(GuiltyStream) <= FewMore);
+  World.untilCrashed(CrashingStreamPath);
+  BOOST_TEST(World.crashesOnFurtherRequests(CrashingStreamPath) <=
+             MaxFurtherCrashes);
 }
 
-// Each gateway saw one end.
-BOOST_AUTO_TEST_CASE(are_known_by_ends_that_different_gateways_saw) {
+// Guards against counting crashes per gateway only: here each gateway sees one
+// of the three crashes, because the request is not retried.
+BOOST_AUTO_TEST_CASE(are_quarantined_by_crashes_seen_at_different_gateways) {
   crashing_world World(14, 3);
-  World.untilCrashed(GuiltyOnce);
-  BOOST_TEST(World.crashed() == EndsAllowed);
-  BOOST_TEST(World.endsOfMoreTries(GuiltyOnce) == 0);
+  World.untilCrashed(CrashingPathNoRetry);
+  BOOST_TEST(World.crashed() == CrashesToQuarantine);
+  BOOST_TEST(World.crashesOnFurtherRequests(CrashingPathNoRetry) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(are_known_to_a_gateway_that_starts_later) {
+BOOST_AUTO_TEST_CASE(are_quarantined_at_a_gateway_that_starts_later) {
   crashing_world World(14, 1);
-  World.untilCrashed(GuiltyOnce);
+  World.untilCrashed(CrashingPathNoRetry);
   World.addGateway();
   World.untilServing();
-  BOOST_TEST(World.endsOfMoreTries(GuiltyOnce) == 0);
+  BOOST_TEST(World.crashesOnFurtherRequests(CrashingPathNoRetry) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(are_known_after_all_processes_have_started_anew) {
+BOOST_AUTO_TEST_CASE(stay_quarantined_after_all_processes_restart) {
   crashing_world World(14, 2);
-  World.untilCrashed(GuiltyOnce);
-  World.startAllAnew();
-  BOOST_TEST(World.endsOfMoreTries(GuiltyOnce) == 0);
+  World.untilCrashed(CrashingPathNoRetry);
+  World.restartAll();
+  BOOST_TEST(World.crashesOnFurtherRequests(CrashingPathNoRetry) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(are_shown_to_operators_and_let_out_by_them) {
+BOOST_AUTO_TEST_CASE(are_listed_and_released_by_operators) {
   crashing_world World(8, 2);
-  World.untilCrashed(GuiltyOnce);
+  World.untilCrashed(CrashingPathNoRetry);
   caller_answer Shown = World.operatorCall("GET", "/v1/quarantine", "");
   json List = json::parse(Shown.Body)["quarantine"];
   BOOST_REQUIRE_MESSAGE(List.size() == 1U, Shown.Body);
-  BOOST_TEST(List[0]["upstreams_ended"].size() == size_t(EndsAllowed));
+  BOOST_TEST(List[0]["upstreams_ended"].size() == size_t(CrashesToQuarantine));
   std::string Request = List[0]["request"];
   BOOST_TEST(World.Gateways[0]->Process->logText().find(Request) !=
              std::string::npos);
@@ -199,72 +211,73 @@
   BOOST_TEST(Release(std::string(32, 'a')) == 404);
   BOOST_TEST(Release(Request) == 200);
   int Before = World.crashed();
-  World.until("it is tried again", [&] {
-    World.ask(GuiltyOnce);
+  World.until("the released request is sent to an upstream", [&] {
+    World.sendRequest(CrashingPathNoRetry);
     return World.crashed() > Before;
   });
 }
 
-BOOST_AUTO_TEST_CASE(do_not_bar_a_popular_one_that_upstreams_end_under) {
+BOOST_AUTO_TEST_CASE(exclude_popular_requests_in_flight_during_crashes) {
   crashing_world World(4, 2);
   const std::string Popular = "/safe/popular?late=300";
-  for (int Round = 0; Round < EndsAllowed + 1; ++Round) {
-    BOOST_TEST(World.ask(Popular, 0).Status == 200);
-    std::vector<std::shared_ptr<caller_answer>> Under;
+  for (int Round = 0; Round < CrashesToQuarantine + 1; ++Round) {
+    BOOST_TEST(World.sendRequest(Popular, 0).Status == 200);
+    std::vector<std::shared_ptr<caller_answer>> InFlight;
     for (int I = 0; I < 8; ++I)
-      Under.push_back(World.beginAt(Popular, size_t(I) % 2));
+      InFlight.push_back(World.beginAt(Popular, size_t(I) % 2));
     World.run(0.1);
-    World.endAll(4);
-    World.until("the answers", [&] {
-      return std::all_of(Under.begin(), Under.end(),
+    World.crashAll(4);
+    World.until("the requests are answered", [&] {
+      return std::all_of(InFlight.begin(), InFlight.end(),
                          [](const auto &Each) { return Each->Done; });
     });
   }
-  World.run(SpreadSeconds);
-  BOOST_TEST(World.ask(Popular, 0).Status == 200);
-  BOOST_TEST(World.ask(Popular, 1).Status == 200);
+  World.run(PropagationSeconds);
+  BOOST_TEST(World.sendRequest(Popular, 0).Status == 200);
+  BOOST_TEST(World.sendRequest(Popular, 1).Status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(do_not_bar_their_company) {
+BOOST_AUTO_TEST_CASE(exclude_requests_that_ran_concurrently) {
   crashing_world World(4, 1);
-  std::vector<std::shared_ptr<caller_answer>> Company;
+  std::vector<std::shared_ptr<caller_answer>> Concurrent;
   for (int I = 0; I < 12; ++I)
-    Company.push_back(
+    Concurrent.push_back(
         World.beginAt("/safe/company-" + std::to_string(I) + "?late=400"));
   World.run(0.1);
-  World.ask(GuiltyOnce);
-  World.until("the answers", [&] {
-    return std::all_of(Company.begin(), Company.end(),
+  World.sendRequest(CrashingPathNoRetry);
+  World.until("the requests are answered", [&] {
+    return std::all_of(Concurrent.begin(), Concurrent.end(),
                        [](const auto &Each) { return Each->Done; });
   });
-  for (const auto &Each : Company)
+  for (const auto &Each : Concurrent)
     BOOST_TEST(Each->Status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(are_not_those_that_leaving_upstreams_cut) {
+BOOST_AUTO_TEST_CASE(exclude_requests_interrupted_by_leaving_upstreams) {
   crashing_world World(1, 1);
   const std::string Long = "/unsafe/long?late=2500";
-  for (int Round = 0; Round <= EndsAllowed; ++Round) {
-    auto Cut = World.beginAt(Long);
+  for (int Round = 0; Round <= CrashesToQuarantine; ++Round) {
+    auto Interrupted = World.beginAt(Long);
     std::string Id = "i-" + std::to_string(Round + 1);
     replica &Leaving = *World.Replicas[Id];
-    World.until("it runs", [&] { return Leaving.runs() > 0; });
+    World.until("the request runs", [&] { return Leaving.runs() > 0; });
     World.List->put(Leaving, Leaving.address(), "draining");
     World.addUpstream();
-    World.until("another one serves", [&] {
+    World.until("the leaving upstream gets no more requests", [&] {
       int Before = Leaving.arrivals();
-      return World.ask("/safe/x").Status == 200 && Leaving.arrivals() == Before;
+      return World.sendRequest("/safe/x").Status == 200 &&
+             Leaving.arrivals() == Before;
     });
-    World.run(1); // The gateway has the list.
+    World.run(1); // Until the gateway has received the list.
     Leaving.crash();
-    World.until("the answer", [&] { return Cut->Done; });
-    BOOST_TEST(Cut->Status != 200);
+    World.until("the request is answered", [&] { return Interrupted->Done; });
+    BOOST_TEST(Interrupted->Status != 200);
   }
-  World.run(SpreadSeconds);
-  BOOST_TEST(World.ask(Long).Status == 200);
+  World.run(PropagationSeconds);
+  BOOST_TEST(World.sendRequest(Long).Status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(are_not_those_that_living_upstreams_broke_off) {
+BOOST_AUTO_TEST_CASE(exclude_requests_aborted_by_live_upstreams) {
   crashing_world World(6, 1);
   for (const char *How : {"reset", "cut", "garble"}) {
     std::string Path = "/unsafe/broken?do=" + std::string(How);
@@ -274,28 +287,29 @@
         Sum += Replica->runs();
       return Sum;
     };
-    for (int I = 0; I < 2 * EndsAllowed; ++I) {
+    for (int I = 0; I < 2 * CrashesToQuarantine; ++I) {
       int Before = Runs();
-      World.ask(Path);
+      World.sendRequest(Path);
       BOOST_TEST(Runs() == Before + 1);
     }
   }
 }
 
-// The other way through the product: entries, and a sidecar beside each engine.
-BOOST_AUTO_TEST_CASE(end_no_more_engines_behind_sidecars_either) {
+// The same failure in the other deployment: entries, and a sidecar next to each
+// engine.
+BOOST_AUTO_TEST_CASE(crash_no_more_engines_behind_sidecars) {
   world World;
   World.startUsual();
-  int Ends = 0;
-  auto Ask = [&](const std::string &Entry, const std::string &Prompt) {
-    int Before = Ends;
+  int Crashes = 0;
+  auto SendRequest = [&](const std::string &Entry, const std::string &Prompt) {
+    int Before = Crashes;
     auto Answer = World.begin(
         World.Entries[Entry]->Address.text(),
         {.Body = chatBody("plan", Prompt), .Headers = {"X-Deadline-Ms: 5000"}});
-    World.until("an answer", [&] {
+    World.until("the request is answered", [&] {
       for (auto &[Name, Sidecar] : World.Sidecars)
         if (Sidecar->Engine->crashes()) {
-          ++Ends;
+          ++Crashes;
           std::string Address = Sidecar->Engine->address();
           Sidecar->Engine.reset();
           World.run(0.3);
@@ -305,24 +319,24 @@
         }
       return Answer->Done;
     });
-    // It has run where an engine ended under it.
-    if (Ends > Before)
+    // A request that crashed an engine must not be reported as not run.
+    if (Crashes > Before)
       BOOST_TEST(Answer->outcome() != "not-run");
     return *Answer;
   };
-  for (int I = 0; I < ManyTries && Ends < EndsAllowed; ++I)
-    Ask("entry-1", "crash=1");
-  BOOST_REQUIRE(Ends >= EndsAllowed);
-  World.run(SpreadSeconds);
-  int Before = Ends;
-  for (int I = 0; I < ManyTries; ++I)
-    Ask(I % 2 ? "entry-1" : "entry-2", "crash=1");
-  BOOST_TEST(Ends - Before <= FewMore);
-  caller_answer Refused = Ask("entry-2", "crash=1");
+  for (int I = 0; I < Attempts && Crashes < CrashesToQuarantine; ++I)
+    SendRequest("entry-1", "crash=1");
+  BOOST_REQUIRE(Crashes >= CrashesToQuarantine);
+  World.run(PropagationSeconds);
+  int Before = Crashes;
+  for (int I = 0; I < Attempts; ++I)
+    SendRequest(I % 2 ? "entry-1" : "entry-2", "crash=1");
+  BOOST_TEST(Crashes - Before <= MaxFurtherCrashes);
+  caller_answer Refused = SendRequest("entry-2", "crash=1");
   BOOST_TEST(Refused.Status == 503);
   BOOST_TEST(Refused.outcome() == "not-run");
   World.until("another request is served",
-              [&] { return Ask("entry-1", "tokens=3").Status == 200; });
+              [&] { return SendRequest("entry-1", "tokens=3").Status == 200; });
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/system/evacuation_test.cpp
+++ b/tests/system/evacuation_test.cpp
@@ -1,7 +1,8 @@
 //===- evacuation_test.cpp - Data halls that get no new requests ----------===//
 //
-// Nothing new goes to upstreams of an evacuated data hall, by no way, until it
-// is restored; what runs there ends whole.
+// Guards against new requests reaching an evacuated data hall through any of
+// the paths that choose an upstream, before the hall is restored, and against
+// aborting the requests that already run there.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,6 +14,7 @@
 
 namespace {
 
+// Time by which an order is in force at all gateways and entries.
 constexpr double InForceSeconds = 2;
 
 class hall_world : public gateway_world {
@@ -25,7 +27,7 @@
     addReplica({.Id = "l-2", .DataHall = "lac"});
     startServing(usualRouting());
   }
-  int ask(const std::string &Path, caller_request Request = {}) {
+  int sendRequest(const std::string &Path, caller_request Request = {}) {
     return request(Path, std::move(Request)).Status;
   }
   caller_answer order(const std::string &Verb, const std::string &Hall,
@@ -51,18 +53,19 @@
         return Hall;
     return {};
   }
-  /// Asks in all the ways that choose an upstream; none may reach the hall.
-  void testNothingGoesTo(const std::string &Hall) {
+  /// Sends requests through every path that chooses an upstream and checks that
+  /// none of them reaches the hall.
+  void testHallGetsNoRequests(const std::string &Hall) {
     const caller_request AnyModel = {
         .Headers = {"X-Model: *", "X-Token-Count: 100,20"}};
-    int Before = arrivalsIn(Hall);
+    int ArrivalsBefore = arrivalsIn(Hall);
     for (int I = 0; I < 10; ++I) {
-      BOOST_TEST(ask("/safe/x") == 200);
-      BOOST_TEST(ask("/unsafe/x") == 200);
-      BOOST_TEST(ask("/stream/x?events=4&break=2", AnyModel) == 200);
-      ask("/safe/x?do=fail");
+      BOOST_TEST(sendRequest("/safe/x") == 200);
+      BOOST_TEST(sendRequest("/unsafe/x") == 200);
+      BOOST_TEST(sendRequest("/stream/x?events=4&break=2", AnyModel) == 200);
+      sendRequest("/safe/x?do=fail");
     }
-    BOOST_TEST(arrivalsIn(Hall) == Before);
+    BOOST_TEST(arrivalsIn(Hall) == ArrivalsBefore);
   }
 };
 
@@ -70,56 +73,58 @@
 
 BOOST_AUTO_TEST_SUITE(evacuated_halls)
 
-BOOST_AUTO_TEST_CASE(get_no_requests_by_any_way_until_they_are_restored) {
+BOOST_AUTO_TEST_CASE(get_no_requests_by_any_path_until_restored) {
   hall_world World;
   for (auto &[Id, Replica] : World.Replicas)
-    Replica->Confidence = 0.1; // A larger model is asked.
+    Replica->Confidence =
+        0.1; // Low confidence: the request is repeated at a larger model.
   World.evacuate("charguia");
-  World.testNothingGoesTo("charguia");
-  BOOST_TEST_CONTEXT("nor where the platform lists a new upstream there") {
+  World.testHallGetsNoRequests("charguia");
+  BOOST_TEST_CONTEXT("an upstream newly listed in the hall gets none either") {
     World.addReplica({.Id = "c-3", .DataHall = "charguia"});
     World.run(2);
-    World.testNothingGoesTo("charguia");
+    World.testHallGetsNoRequests("charguia");
   }
-  BOOST_TEST_CONTEXT("a late copy of the order changes nothing") {
+  BOOST_TEST_CONTEXT("a repeated order changes nothing") {
     BOOST_TEST(World.order("evacuate", "charguia").Status == 200);
     BOOST_TEST(World.hall("charguia")["evacuated"] == true);
   }
-  BOOST_TEST_CONTEXT("and then get some again") {
+  BOOST_TEST_CONTEXT("a restored hall gets requests again") {
     BOOST_TEST(World.order("restore", "charguia").Status == 200);
-    int Before = World.arrivalsIn("charguia");
+    int ArrivalsBefore = World.arrivalsIn("charguia");
     World.until("a request goes there", [&] {
-      World.ask("/safe/x");
-      return World.arrivalsIn("charguia") > Before;
+      World.sendRequest("/safe/x");
+      return World.arrivalsIn("charguia") > ArrivalsBefore;
     });
     BOOST_TEST(World.hall("charguia")["evacuated"] == false);
   }
 }
 
-BOOST_AUTO_TEST_CASE(end_what_runs_there) {
+BOOST_AUTO_TEST_CASE(finish_requests_in_flight) {
   hall_world World;
   World.Replicas["l-1"]->Refuses = World.Replicas["l-2"]->Refuses = true;
   auto Stream = World.beginRequest("/stream/x?events=300");
-  World.until("it runs", [&] { return Stream->Body.size() > 0; });
+  World.until("the stream has started",
+              [&] { return Stream->Body.size() > 0; });
   World.Replicas["l-1"]->Refuses = World.Replicas["l-2"]->Refuses = false;
   BOOST_REQUIRE_EQUAL(World.order("evacuate", "charguia").Status, 200);
-  World.until("it is shown as open", [&] {
+  World.until("the request is reported as open", [&] {
     return World.hall("charguia").value("open_requests", 0) == 1;
   });
-  World.until("an answer", [&] { return Stream->Done; });
+  World.until("the stream has ended", [&] { return Stream->Done; });
   BOOST_TEST(Stream->Body.find("data: 300\n") != std::string::npos);
-  World.until("it is shown as empty", [&] {
+  World.until("the hall is reported as empty", [&] {
     json Hall = World.hall("charguia");
     return Hall.value("open_requests", -1) == 0 &&
            Hall.value("gateways_behind", -1) == 0;
   });
 }
 
-BOOST_AUTO_TEST_CASE(are_all_there_are_and_callers_hear_so_at_once) {
+BOOST_AUTO_TEST_CASE(refuse_callers_at_once_if_no_other_hall_is_left) {
   hall_world World;
   BOOST_REQUIRE_EQUAL(World.order("evacuate", "charguia").Status, 200);
   World.evacuate("lac");
-  int Before = World.arrivalsIn("charguia") + World.arrivalsIn("lac");
+  int ArrivalsBefore = World.arrivalsIn("charguia") + World.arrivalsIn("lac");
   for (const char *Path : {"/safe/x", "/unsafe/x", "/stream/x?events=3"}) {
     double Since = steadySeconds();
     caller_answer Answer = World.request(Path);
@@ -128,20 +133,21 @@
     BOOST_TEST(std::atof(Answer.header("retry-after").c_str()) > 0.3);
     BOOST_TEST(steadySeconds() - Since < 1);
   }
-  BOOST_TEST(World.arrivalsIn("charguia") + World.arrivalsIn("lac") == Before);
+  BOOST_TEST(World.arrivalsIn("charguia") + World.arrivalsIn("lac") ==
+             ArrivalsBefore);
 }
 
-BOOST_AUTO_TEST_CASE(are_remembered_through_the_loss_of_every_process) {
+BOOST_AUTO_TEST_CASE(stay_evacuated_after_the_loss_of_every_process) {
   hall_world World;
   World.evacuate("charguia");
-  BOOST_TEST_CONTEXT("of the leader") {
+  BOOST_TEST_CONTEXT("after the loss of the leader") {
     seeded_control *Leader = World.leaderOf();
     BOOST_REQUIRE(Leader != nullptr);
     Leader->Process->kill();
-    World.testNothingGoesTo("charguia");
+    World.testHallGetsNoRequests("charguia");
     Leader->Process->start();
   }
-  BOOST_TEST_CONTEXT("of all") {
+  BOOST_TEST_CONTEXT("after the loss of all processes") {
     World.Gateway->kill();
     for (auto &Node : World.Seeded)
       Node->Process->kill();
@@ -149,36 +155,40 @@
       Node->Process->start();
     World.Gateway->start();
     World.untilGatewayReady("gateway-1");
-    World.until("it serves", [&] { return World.ask("/safe/x") == 200; });
-    World.testNothingGoesTo("charguia");
+    World.until("the gateway serves",
+                [&] { return World.sendRequest("/safe/x") == 200; });
+    World.testHallGetsNoRequests("charguia");
   }
 }
 
-// An order that was sent again elsewhere lies unread at the first VM asked.
-BOOST_AUTO_TEST_CASE(are_not_moved_by_a_copy_that_a_frozen_leader_reads_late) {
+// Guards against applying an order after a newer one. The operator's client
+// resends an order to another VM while the first copy is still unread at the
+// frozen leader, which reads it once it runs again.
+BOOST_AUTO_TEST_CASE(ignore_a_late_copy_of_an_order_at_a_frozen_leader) {
   hall_world World;
   World.untilVoters(3);
-  seeded_control *Frozen = World.leaderOf();
-  BOOST_REQUIRE(Frozen != nullptr);
-  Frozen->Process->signal(SIGSTOP);
-  auto Late = World.begin(World.operatorAddressOf(*Frozen),
-                          {.Path = "/v1/halls/evacuate/charguia", .Key = ""});
+  seeded_control *FrozenLeader = World.leaderOf();
+  BOOST_REQUIRE(FrozenLeader != nullptr);
+  FrozenLeader->Process->signal(SIGSTOP);
+  auto LateCopy =
+      World.begin(World.operatorAddressOf(*FrozenLeader),
+                  {.Path = "/v1/halls/evacuate/charguia", .Key = ""});
   World.run(0.3);
   BOOST_TEST(World.order("evacuate", "charguia").Status == 200);
   BOOST_TEST(World.order("restore", "charguia").Status == 200);
-  Frozen->Process->signal(SIGCONT);
-  World.until("the copy is answered", [&] { return Late->Done; });
-  BOOST_TEST(Late->Status != 200);
+  FrozenLeader->Process->signal(SIGCONT);
+  World.until("the late copy is answered", [&] { return LateCopy->Done; });
+  BOOST_TEST(LateCopy->Status != 200);
   World.run(InForceSeconds);
   BOOST_TEST(World.hall("charguia")["evacuated"] == false);
-  int Before = World.arrivalsIn("charguia");
+  int ArrivalsBefore = World.arrivalsIn("charguia");
   World.until("a request goes there", [&] {
-    World.ask("/safe/x");
-    return World.arrivalsIn("charguia") > Before;
+    World.sendRequest("/safe/x");
+    return World.arrivalsIn("charguia") > ArrivalsBefore;
   });
 }
 
-BOOST_AUTO_TEST_CASE(need_a_clear_order) {
+BOOST_AUTO_TEST_CASE(reject_malformed_orders) {
   hall_world World;
   BOOST_TEST(World.order("restore", "charguia").Status == 200);
   BOOST_TEST(World.order("restore", "never-heard-of").Status == 200);
@@ -190,17 +200,17 @@
              404);
   BOOST_TEST(World.hall("charguia")["evacuated"] == false);
   BOOST_TEST(World.hall("lac")["upstreams"] == 2);
-  BOOST_TEST_CONTEXT("a name of another spelling evacuates nothing else") {
+  BOOST_TEST_CONTEXT("a name in different case evacuates no other hall") {
     World.evacuate("Charguia");
-    int Before = World.arrivalsIn("charguia");
+    int ArrivalsBefore = World.arrivalsIn("charguia");
     World.until("a request goes there", [&] {
-      World.ask("/safe/x");
-      return World.arrivalsIn("charguia") > Before;
+      World.sendRequest("/safe/x");
+      return World.arrivalsIn("charguia") > ArrivalsBefore;
     });
   }
 }
 
-BOOST_AUTO_TEST_CASE(answer_two_operators_at_once_in_one_order) {
+BOOST_AUTO_TEST_CASE(apply_concurrent_orders_consistently) {
   hall_world World;
   for (int Round = 0; Round < 5; ++Round) {
     std::vector<std::shared_ptr<caller_answer>> Answers;
@@ -211,15 +221,15 @@
           World.operatorAddressOf(*Leader),
           {.Path = "/v1/halls/" + std::string(Verb) + "/charguia", .Key = ""}));
     for (const auto &Answer : Answers) {
-      World.until("an answer", [&] { return Answer->Done; });
+      World.until("the order is answered", [&] { return Answer->Done; });
       BOOST_TEST(Answer->Status == 200);
     }
     World.run(InForceSeconds);
     bool Evacuated = World.hall("charguia")["evacuated"].get<bool>();
-    int Before = World.arrivalsIn("charguia");
+    int ArrivalsBefore = World.arrivalsIn("charguia");
     for (int I = 0; I < 40; ++I)
-      World.ask("/safe/x");
-    BOOST_TEST((World.arrivalsIn("charguia") > Before) == !Evacuated);
+      World.sendRequest("/safe/x");
+    BOOST_TEST((World.arrivalsIn("charguia") > ArrivalsBefore) == !Evacuated);
     World.order("restore", "charguia");
   }
 }
@@ -228,7 +238,7 @@
 
 namespace {
 
-/// Entries with sidecar a in the data hall charguia and b in lac.
+/// Entries with sidecar a in data hall charguia and sidecar b in data hall lac.
 class two_halls : public world {
 public:
   two_halls() {
@@ -237,7 +247,7 @@
     Upstreams["b"]["data_hall"] = "lac";
     putObject("upstream", "b", Upstreams["b"]);
   }
-  caller_answer ask() {
+  caller_answer sendRequest() {
     return call(Entries["entry-1"]->Address.text(),
                 {.Body = chatBody("plan", "x")});
   }
@@ -254,31 +264,32 @@
 
 BOOST_AUTO_TEST_SUITE(evacuated_halls_of_entries)
 
-BOOST_AUTO_TEST_CASE(get_nothing_new_until_they_are_restored) {
+BOOST_AUTO_TEST_CASE(get_no_new_requests_until_restored) {
   two_halls World;
   BOOST_TEST(World.hall("lac")["evacuated"] == false);
   BOOST_TEST(World.ctl({"evacuate", "lac"}).ExitCode == 0);
   BOOST_TEST(World.hall("lac")["evacuated"] == true);
   World.run(InForceSeconds);
   for (int I = 0; I < 20; ++I) {
-    caller_answer Answer = World.ask();
+    caller_answer Answer = World.sendRequest();
     BOOST_TEST(Answer.Status == 200);
     BOOST_TEST(Answer.upstream() == "a");
   }
-  BOOST_TEST_CONTEXT("callers hear at once that all halls are") {
+  BOOST_TEST_CONTEXT("callers are refused at once if all halls are evacuated") {
     BOOST_TEST(World.ctl({"evacuate", "charguia"}).ExitCode == 0);
     World.run(InForceSeconds);
-    caller_answer Answer = World.ask();
+    caller_answer Answer = World.sendRequest();
     BOOST_TEST(Answer.Status == 503);
     BOOST_TEST(Answer.outcome() == "not-run");
   }
-  BOOST_TEST_CONTEXT("restored they get requests again") {
+  BOOST_TEST_CONTEXT("a restored hall gets requests again") {
     BOOST_TEST(World.ctl({"restore", "lac"}).ExitCode == 0);
-    World.until("b answers", [&] { return World.ask().upstream() == "b"; });
+    World.until("b answers",
+                [&] { return World.sendRequest().upstream() == "b"; });
   }
 }
 
-BOOST_AUTO_TEST_CASE(are_named_by_operators_as_they_are_spelt) {
+BOOST_AUTO_TEST_CASE(are_named_by_operators_in_exact_spelling) {
   two_halls World;
   ctl_result Wrong = World.ctl({"evacuate", "Lac"});
   BOOST_TEST(Wrong.ExitCode == 1);
--- a/tests/system/failing_test.cpp
+++ b/tests/system/failing_test.cpp
@@ -1,7 +1,8 @@
 //===- failing_test.cpp - An upstream that fails its requests -------------===//
 //
-// One whose answers are failures, though the list shows it ready, gets few
-// requests while the others answer well.
+// Guards against sending unsafe requests to an upstream that fails them
+// although the list shows it as ready. It gets few requests while the others
+// succeed.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,7 +20,7 @@
       addReplica({.Id = "i-" + std::to_string(I)});
     startServing(usualRouting());
   }
-  /// Callers that got a failure.
+  /// Sends unsafe requests and returns the number that failed with 500.
   int failuresOf(int Requests) {
     int Failures = 0;
     for (int I = 0; I < Requests; ++I)
@@ -32,21 +33,21 @@
 
 BOOST_AUTO_TEST_SUITE(failing_upstreams)
 
-BOOST_AUTO_TEST_CASE(get_few_requests_that_may_not_be_repeated) {
+BOOST_AUTO_TEST_CASE(get_few_unsafe_requests) {
   failing_world World(3);
   World.Replicas["i-1"]->Fails = true;
   BOOST_TEST(World.failuresOf(300) < 30);
-  BOOST_TEST_CONTEXT("until they answer well again") {
+  BOOST_TEST_CONTEXT("an upstream that has recovered gets requests again") {
     World.Replicas["i-1"]->Fails = false;
     int Before = World.Replicas["i-1"]->runs();
-    World.until("it gets some", [&] {
+    World.until("the upstream gets requests", [&] {
       World.request("/unsafe/x");
       return World.Replicas["i-1"]->runs() > Before + 10;
     });
   }
 }
 
-BOOST_AUTO_TEST_CASE(are_used_where_all_fail_alike) {
+BOOST_AUTO_TEST_CASE(are_all_used_if_all_fail) {
   failing_world World(2);
   for (auto &[Id, Replica] : World.Replicas)
     Replica->Fails = true;
--- a/tests/system/gateway_test.cpp
+++ b/tests/system/gateway_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// A gateway before two upstreams, ready.
+/// A ready gateway in front of two upstreams.
 class served_world : public gateway_world {
 public:
   served_world() {
@@ -18,7 +18,7 @@
     BOOST_REQUIRE_EQUAL(putRouting(usualRouting()).Status, 200);
     startGateway("gateway-1");
     untilGatewayReady("gateway-1");
-    until("upstreams are known",
+    until("the gateway serves requests",
           [&] { return request("/safe/x", {.Method = "GET"}).Status == 200; });
   }
 
@@ -28,16 +28,17 @@
       Sum += Replica->runs(Id);
     return Sum;
   }
-  /// Sends raw bytes and returns all that comes back until the close.
+  /// Sends raw bytes and returns everything received until the gateway closes
+  /// the connection.
   std::string raw(const std::string &Bytes) {
     tcp_stream Stream(Loop, GatewayAddress.text());
-    std::string Got;
-    bool Ended = false;
-    Stream.OnBytes = [&](std::string_view More) { Got.append(More); };
-    Stream.OnEnd = [&](bool) { Ended = true; };
+    std::string Received;
+    bool Closed = false;
+    Stream.OnBytes = [&](std::string_view More) { Received.append(More); };
+    Stream.OnEnd = [&](bool) { Closed = true; };
     Stream.write(Bytes);
-    until("the connection is closed", [&] { return Ended; });
-    return Got;
+    until("the connection is closed", [&] { return Closed; });
+    return Received;
   }
 };
 
@@ -53,7 +54,7 @@
 
 BOOST_AUTO_TEST_SUITE(gateways)
 
-BOOST_AUTO_TEST_CASE(pass_requests_and_answers_on_unchanged) {
+BOOST_AUTO_TEST_CASE(forward_requests_and_responses_unchanged) {
   served_world World;
   caller_answer Answer = World.request(
       "/unsafe/book?a=%2e&b", {.Body = "{\"seat\": 7}",
@@ -69,7 +70,7 @@
   BOOST_TEST(Head.find("X-Credential") == nullptr);
   BOOST_TEST(std::stoi(*Head.find("X-Deadline-Ms")) <= 3000);
 
-  // Chunked bodies reach the upstream with their length.
+  // A chunked body is forwarded with a Content-Length.
   std::string Text = World.raw(
       "POST /unsafe/c HTTP/1.1\r\nHost: a.example\r\nX-Credential: k1\r\n"
       "X-Attempt-Id: c\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n"
@@ -77,7 +78,7 @@
   BOOST_TEST(Text.find("got abcde") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(refuse_what_has_no_route_or_key) {
+BOOST_AUTO_TEST_CASE(refuse_requests_without_route_or_key) {
   served_world World;
   BOOST_TEST(World.request("/nowhere/x").Status == 404);
   BOOST_TEST(World
@@ -87,7 +88,7 @@
   BOOST_TEST(World.runs(World.LastId) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(refuse_what_could_carry_another_request) {
+BOOST_AUTO_TEST_CASE(reject_request_smuggling) {
   served_world World;
   int Before = World.Replicas["i-1"]->runs() + World.Replicas["i-2"]->runs();
   const std::string Head =
@@ -114,26 +115,28 @@
   BOOST_TEST(After == Before);
 }
 
-BOOST_AUTO_TEST_CASE(keep_callers_within_the_limits) {
+BOOST_AUTO_TEST_CASE(enforce_request_size_and_time_limits) {
   served_world World;
   std::string Start = "POST /unsafe/x HTTP/1.1\r\nHost: a.example\r\n";
   BOOST_TEST(World.raw(Start + "X-Long: " + std::string(5000, 'x'))
                  .starts_with("HTTP/1.1 431"));
   BOOST_TEST(World.raw(Start + "Content-Length: 200000\r\n\r\n")
                  .starts_with("HTTP/1.1 413"));
-  // A head that does not end, and a connection that says nothing.
+  // An incomplete request head, and a connection on which nothing is sent.
   BOOST_TEST(World.raw(Start).starts_with("HTTP/1.1 408"));
   BOOST_TEST(World.raw("").empty());
 }
 
-// How an upstream fails, and what each kind of request makes of it.
-BOOST_AUTO_TEST_CASE(tell_exactly_what_has_run) {
+// Guards against reporting the wrong outcome to callers. Each case makes both
+// upstreams fail in one way and checks the status and the number of runs for a
+// safe (repeatable) and an unsafe request.
+BOOST_AUTO_TEST_CASE(report_whether_a_failed_request_ran) {
   served_world World;
   struct fault_case {
     const char *Do;
-    int Safe;    ///< Status, when both upstreams fail so.
-    bool MayRun; ///< At an upstream.
-    int Unsafe;
+    int Safe; ///< Status of the safe request if both upstreams fail this way.
+    bool MayRun; ///< Whether the safe request can run at an upstream.
+    int Unsafe;  ///< Status of the unsafe request.
     int UnsafeRuns;
   };
   const fault_case Cases[] = {
@@ -146,7 +149,7 @@
       std::string Query = std::string("x?do=") + Case.Do;
       caller_answer Safe = World.request("/safe/" + Query, {.Method = "GET"});
       BOOST_TEST(Safe.Status == Case.Safe);
-      // Never more often than the route allows.
+      // No more attempts than the route allows.
       int Runs = World.runs(World.LastId);
       BOOST_TEST((Case.MayRun ? Runs >= 2 && Runs <= 3 : Runs == 0));
       caller_answer Unsafe = World.request("/unsafe/" + Query);
@@ -160,12 +163,13 @@
       BOOST_TEST(Answer.Status == 200);
       BOOST_TEST(Answer.Body.ends_with("got b"));
     }
-  // The surplus answer belongs to nobody, whoever comes next.
+  // The surplus response must not be delivered to a later request on the same
+  // upstream connection.
   for (int I = 0; I < 4; ++I)
     BOOST_TEST(World.request("/unsafe/x", {.Body = "z"}).Body.ends_with("z"));
 }
 
-BOOST_AUTO_TEST_CASE(keep_to_the_connections_that_an_upstream_takes) {
+BOOST_AUTO_TEST_CASE(respect_max_connections_of_upstreams) {
   served_world World;
   json Routing = World.usualRouting();
   Routing["services"][0]["max_connections"] = 6;
@@ -176,21 +180,21 @@
   std::vector<std::shared_ptr<caller_answer>> Open;
   for (int I = 0; I < 40; ++I)
     Open.push_back(World.beginRequest("/few/x?late=300"));
-  size_t Most = 0;
-  World.until("all are answered", [&] {
+  size_t MaxConnections = 0;
+  World.until("all requests are answered", [&] {
     for (auto &[Id, Replica] : World.Replicas)
-      Most = std::max(Most, Replica->connections());
+      MaxConnections = std::max(MaxConnections, Replica->connections());
     return std::all_of(Open.begin(), Open.end(),
                        [](const auto &Each) { return Each->Done; });
   });
-  BOOST_TEST(Most <= 6U);
-  // Those beyond are refused as not run, at once.
+  BOOST_TEST(MaxConnections <= 6U);
+  // Requests above the limit are refused at once as not run.
   for (const auto &Each : Open)
     BOOST_TEST((Each->Status == 200 || Each->outcome() == "not-run"),
                Each->Status << " " << Each->Error << " " << Each->Body);
 }
 
-BOOST_AUTO_TEST_CASE(go_elsewhere_when_one_upstream_is_out_of_reach) {
+BOOST_AUTO_TEST_CASE(retry_elsewhere_when_an_upstream_is_unreachable) {
   served_world World;
   for (proxy_fault Fault : {proxy_fault::Cut, proxy_fault::Hole}) {
     World.Paths["i-1"]->set(Fault);
@@ -202,37 +206,39 @@
   }
 }
 
-// What has run perhaps must not be sent again, so the first failure of an
-// upstream costs one caller; the next ones wait until it has answered others.
-BOOST_AUTO_TEST_CASE(send_nothing_unsafe_where_the_last_request_broke) {
+// Guards against losing one unsafe request after another at an upstream that is
+// out of reach. An unsafe request that may have run is not sent again, so the
+// first failure costs one caller; after it the upstream gets no unsafe requests
+// until it has answered others.
+BOOST_AUTO_TEST_CASE(send_no_unsafe_requests_to_an_unrecovered_upstream) {
   served_world World;
   World.Paths["i-1"]->set(proxy_fault::Cut);
-  // A request on its way over a connection that ends may have run, and says
-  // nothing of the upstream. The gateway has seen the ends that came before a
-  // request that it answers itself.
+  // A request in flight on a closing connection may have run, and its failure
+  // does not count against the upstream. Once the gateway has answered a later
+  // request by itself, it has handled the earlier closes.
   World.until("its connections are closed",
               [&] { return World.Paths["i-1"]->connections() == 0; });
   BOOST_TEST(World.request("/nowhere/x").Status == 404);
   int Lost = 0;
   double Until = steadySeconds() + 4;
-  World.until("some seconds are over", [&] {
+  World.until("the test period is over", [&] {
     Lost += World.request("/unsafe/x").Status != 200;
     return steadySeconds() > Until;
   });
   BOOST_TEST(Lost <= 1);
-  // A request that may be repeated finds out that the upstream is back.
+  // A safe request detects that the upstream can be reached again.
   World.Paths["i-1"]->set(proxy_fault::None);
-  World.until("it is tried again", [&] {
+  World.until("the upstream gets a safe request", [&] {
     BOOST_TEST(World.request("/safe/x", {.Method = "GET"}).Status == 200);
     return World.Replicas["i-1"]->runs(World.LastId) == 1;
   });
-  World.until("it has unsafe requests too", [&] {
+  World.until("the upstream gets an unsafe request", [&] {
     BOOST_TEST(World.request("/unsafe/x").Status == 200);
     return World.Replicas["i-1"]->runs(World.LastId) == 1;
   });
 }
 
-BOOST_AUTO_TEST_CASE(refuse_as_not_run_when_no_upstream_can_be_reached) {
+BOOST_AUTO_TEST_CASE(refuse_as_not_run_when_no_upstream_is_reachable) {
   served_world World;
   for (auto &[Id, Replica] : World.Replicas) {
     World.Paths[Id]->setTarget("127.0.0.1:1");
@@ -240,9 +246,9 @@
     World.List->remove(Id);
     World.List->put(*Replica, "127.0.0.1:1");
   }
-  int Asked = World.List->Questions;
-  World.until("the addresses are known",
-              [&] { return World.List->Questions > Asked + 2; });
+  int PollsBefore = World.List->Questions;
+  World.until("the gateway has polled the new addresses",
+              [&] { return World.List->Questions > PollsBefore + 2; });
   for (const char *Path : {"/safe/x", "/unsafe/x", "/stream/x"}) {
     caller_answer Answer = World.request(Path);
     BOOST_TEST(Answer.Status == 503);
@@ -254,7 +260,7 @@
 
 BOOST_AUTO_TEST_SUITE(streams)
 
-BOOST_AUTO_TEST_CASE(go_on_elsewhere_in_the_same_answer) {
+BOOST_AUTO_TEST_CASE(resume_at_another_upstream_in_the_same_response) {
   served_world World;
   caller_answer Answer = World.request("/stream/x?events=8");
   BOOST_TEST(Answer.Body == events(1, 8));
@@ -265,19 +271,21 @@
   BOOST_TEST(World.runs(World.LastId) == 2);
 }
 
-BOOST_AUTO_TEST_CASE(that_cannot_go_on_end_as_broken) {
+BOOST_AUTO_TEST_CASE(that_cannot_resume_end_with_an_error) {
   served_world World;
-  // Each of the two breaks it once and there is no third.
+  // The only reachable upstream breaks off the stream and there is no other one
+  // to continue it.
   World.Paths["i-1"]->set(proxy_fault::Cut);
   caller_answer Answer = World.request("/stream/x?events=8&break=3");
   BOOST_TEST(Answer.Body == events(1, 3));
   BOOST_TEST(!Answer.Error.empty());
 }
 
-BOOST_AUTO_TEST_CASE(end_at_the_upstream_when_the_caller_leaves) {
+BOOST_AUTO_TEST_CASE(
+    are_cancelled_at_the_upstream_when_the_caller_disconnects) {
   served_world World;
   auto Answer = World.beginRequest("/stream/x?events=500", {.Seconds = 0.3});
-  World.until("the caller has left", [&] { return Answer->Done; });
+  World.until("the caller has disconnected", [&] { return Answer->Done; });
   World.until("the upstream has stopped", [&] {
     return World.Replicas["i-1"]->cancelled() +
                World.Replicas["i-2"]->cancelled() ==
@@ -285,7 +293,7 @@
   });
 }
 
-BOOST_AUTO_TEST_CASE(of_a_model_in_doubt_are_asked_of_the_largest) {
+BOOST_AUTO_TEST_CASE(with_low_confidence_are_sent_to_the_largest_model) {
   served_world World;
   for (auto &[Id, Replica] : World.Replicas)
     Replica->Confidence = 0.2;
@@ -303,35 +311,38 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(list_of_the_platform)
+BOOST_AUTO_TEST_SUITE(platform_list)
 
-BOOST_AUTO_TEST_CASE(is_followed_however_late_it_is) {
+BOOST_AUTO_TEST_CASE(is_applied_after_failed_polls) {
   served_world World;
   World.List->Refusals = 3;
   World.List->put(*World.Replicas["i-1"], World.Paths["i-1"]->address(),
                   "draining");
-  int Asked = World.List->Questions;
-  World.until("the list was read again",
-              [&] { return World.List->Questions > Asked + 6; });
+  int PollsBefore = World.List->Questions;
+  World.until("the list has been polled again",
+              [&] { return World.List->Questions > PollsBefore + 6; });
   int Before = World.Replicas["i-1"]->runs();
   for (int I = 0; I < 8; ++I)
     BOOST_TEST(World.request("/safe/x", {.Method = "GET"}).Status == 200);
   BOOST_TEST(World.Replicas["i-1"]->runs() == Before);
 }
 
-BOOST_AUTO_TEST_CASE(may_name_an_address_that_another_has_now) {
+BOOST_AUTO_TEST_CASE(may_have_an_address_that_another_service_took_over) {
   served_world World;
   replica_options Other{.Id = "i-9", .Service = "other"};
-  replica Stranger(World.Loop, Other);
-  World.Paths["i-1"]->setTarget(Stranger.address());
+  replica OtherService(World.Loop, Other);
+  World.Paths["i-1"]->setTarget(OtherService.address());
   World.Replicas["i-1"]->crash();
   for (int I = 0; I < 8; ++I)
     BOOST_TEST(World.request("/safe/x", {.Method = "GET"}).Status == 200);
-  BOOST_TEST(Stranger.runs() == 0);
+  BOOST_TEST(OtherService.runs() == 0);
 }
 
-// The first upstream has ended: whoever has its address now declines.
-BOOST_AUTO_TEST_CASE(may_name_one_that_ended_when_only_one_may_be_tried) {
+// Guards against failing requests on a route with a single attempt. The first
+// upstream has crashed, and a process of another service that took over its
+// address declines the request; a declined request does not count as an
+// attempt.
+BOOST_AUTO_TEST_CASE(may_have_a_crashed_upstream_on_a_single_attempt_route) {
   served_world World;
   json Routing = World.usualRouting();
   Routing["routes"][1]["max_attempts"] = 1;
@@ -339,11 +350,11 @@
   BOOST_REQUIRE_EQUAL(World.putRouting(Routing).Status, 200);
   World.until("the routing is in force",
               [&] { return World.request("/once/x").Status == 200; });
-  replica Stranger(World.Loop, {.Id = "i-9", .Service = "other"});
-  World.Paths["i-1"]->setTarget(Stranger.address());
+  replica OtherService(World.Loop, {.Id = "i-9", .Service = "other"});
+  World.Paths["i-1"]->setTarget(OtherService.address());
   World.Replicas["i-1"]->crash();
-  // A request on its way over a connection that ends may have run. The gateway
-  // has seen the ends that came before a request that it answers itself.
+  // A request in flight on a closing connection may have run. Once the gateway
+  // has answered a later request by itself, it has handled the earlier closes.
   World.until("its connections are closed",
               [&] { return World.Paths["i-1"]->connections() == 0; });
   BOOST_TEST(World.request("/nowhere/x").Status == 404);
@@ -351,10 +362,10 @@
     BOOST_TEST(World.request("/once/x").Status == 200);
     BOOST_TEST(World.runs(World.LastId) == 1);
   }
-  BOOST_TEST(Stranger.runs() == 0);
+  BOOST_TEST(OtherService.runs() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(is_learnt_from_control_by_gateways_that_cannot_ask) {
+BOOST_AUTO_TEST_CASE(is_received_from_control_when_polling_fails) {
   gateway_world World;
   World.addReplica({.Id = "i-1"});
   BOOST_REQUIRE_EQUAL(World.putRouting(World.usualRouting()).Status, 200);
@@ -364,18 +375,18 @@
   BOOST_TEST(World.request("/safe/x", {.Method = "GET"}).Status == 200);
   World.addReplica({.Id = "i-2"});
   World.List->remove("i-1");
-  World.until("the new one is served by", [&] {
+  World.until("the new upstream gets a request", [&] {
     World.request("/safe/x", {.Method = "GET"});
     return World.Replicas["i-2"]->runs() > 0;
   });
 }
 
-BOOST_AUTO_TEST_CASE(is_asked_for_by_gateways_when_control_is_gone) {
+BOOST_AUTO_TEST_CASE(is_polled_by_gateways_when_control_is_down) {
   served_world World;
   for (auto &Node : World.Seeded)
     Node->Process->kill();
   World.addReplica({.Id = "i-3"});
-  World.until("the new one is served by", [&] {
+  World.until("the new upstream gets a request", [&] {
     World.request("/safe/x", {.Method = "GET"});
     return World.Replicas["i-3"]->runs() > 0;
   });
@@ -387,7 +398,7 @@
 
 namespace {
 
-// Replicas are there, control has a routing and is down.
+// Adds an upstream, stores a routing in control and then stops all control VMs.
 void stopControl(gateway_world &World) {
   World.addReplica({.Id = "i-1"});
   World.untilVoters(3);
@@ -403,27 +414,28 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(hold_callers_until_the_routing_is_known) {
+BOOST_AUTO_TEST_CASE(park_requests_until_the_routing_is_received) {
   gateway_world World;
   stopControl(World);
   World.startGateway("gateway-1", {{"start_seconds", 120}});
-  World.until("it listens", [&] { return listens(World); });
-  auto Held = World.beginRequest("/unsafe/x", {.Headers = {"X-Deadline-Ms: "
-                                                           "100000"}});
+  World.until("the gateway listens", [&] { return listens(World); });
+  auto Parked = World.beginRequest("/unsafe/x", {.Headers = {"X-Deadline-Ms: "
+                                                             "100000"}});
   std::string Id = World.LastId;
   for (auto &Node : World.Seeded)
     Node->Process->start();
-  World.until("the held caller is answered", [&] { return Held->Done; });
-  BOOST_TEST(Held->Status == 200);
+  World.until("the parked request is answered", [&] { return Parked->Done; });
+  BOOST_TEST(Parked->Status == 200);
   BOOST_TEST(World.Replicas["i-1"]->runs(Id) == 1);
 }
 
-BOOST_AUTO_TEST_CASE(do_not_hold_callers_who_cannot_wait) {
+BOOST_AUTO_TEST_CASE(do_not_park_requests_with_short_deadlines) {
   gateway_world World;
   stopControl(World);
   World.startGateway("gateway-1", {{"start_seconds", 120}});
-  World.until("it listens", [&] { return listens(World); });
-  // A third of its time, then it may still go to another gateway.
+  World.until("the gateway listens", [&] { return listens(World); });
+  // The gateway parks a request for at most a third of its deadline, so that
+  // the caller still has time to try another gateway.
   caller_answer Answer =
       World.request("/unsafe/x", {.Headers = {"X-Deadline-Ms: 900"}});
   BOOST_TEST(Answer.Status == 503);
@@ -431,11 +443,11 @@
   BOOST_TEST(World.Replicas["i-1"]->runs(World.LastId) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(turn_callers_away_when_control_stays_silent) {
+BOOST_AUTO_TEST_CASE(refuse_requests_when_control_does_not_respond) {
   gateway_world World;
   stopControl(World);
   World.startGateway("gateway-1", {{"start_seconds", 0}});
-  World.until("it listens", [&] {
+  World.until("the gateway listens", [&] {
     return World.request("/unsafe/x", {.Headers = {"X-Deadline-Ms: 100000"}})
                .Status == 503;
   });
@@ -445,25 +457,26 @@
 
 BOOST_AUTO_TEST_SUITE(stops)
 
-BOOST_AUTO_TEST_CASE(cut_no_request_and_take_none_unanswered) {
+BOOST_AUTO_TEST_CASE(abort_no_request_in_flight) {
   served_world World;
   auto Slow = World.beginRequest("/unsafe/x?late=800", {.Body = "s"});
-  World.until("it runs", [&] {
+  World.until("the request runs at an upstream", [&] {
     return World.Replicas["i-1"]->runs() + World.Replicas["i-2"]->runs() > 1;
   });
   World.Gateway->signal(SIGTERM);
-  World.until("it is not ready",
+  World.until("the gateway reports that it is not ready",
               [&] { return !World.ready(World.GatewayHealth); });
-  World.until("the slow one is answered", [&] { return Slow->Done; });
+  World.until("the slow request is answered", [&] { return Slow->Done; });
   BOOST_TEST(Slow->Status == 200);
-  World.until("it has ended", [&] { return !World.Gateway->running(); });
+  World.until("the gateway has exited",
+              [&] { return !World.Gateway->running(); });
   BOOST_TEST(World.Gateway->exitCode() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(are_not_caused_by_a_changed_settings_file) {
+BOOST_AUTO_TEST_CASE(are_not_caused_by_a_settings_reload) {
   served_world World;
   World.Gateway->signal(SIGHUP);
-  World.until("the settings are read again", [&] {
+  World.until("the settings are reloaded", [&] {
     return World.Gateway->logText().find("settings reloaded") !=
            std::string::npos;
   });
@@ -471,11 +484,12 @@
   BOOST_TEST(World.request("/safe/x", {.Method = "GET"}).Status == 200);
 }
 
-// To its last moment.
-BOOST_AUTO_TEST_CASE(end_well_under_a_series_of_changed_settings_files) {
+// Guards against a gateway that is killed by a SIGHUP arriving while it shuts
+// down: the signal must be handled until the process exits.
+BOOST_AUTO_TEST_CASE(exit_cleanly_during_repeated_settings_reloads) {
   served_world World;
-  constexpr int Lives = 10;
-  for (int Life = 0; Life < Lives; ++Life) {
+  constexpr int Restarts = 10;
+  for (int Restart = 0; Restart < Restarts; ++Restart) {
     World.untilGatewayReady("gateway");
     BOOST_TEST(World.Gateway->handles(SIGHUP));
     World.Gateway->signal(SIGTERM);
@@ -491,17 +505,19 @@
 
 BOOST_AUTO_TEST_SUITE(routing_in_control)
 
-BOOST_AUTO_TEST_CASE(is_in_force_at_gateways_and_never_goes_back) {
+BOOST_AUTO_TEST_CASE(
+    reaches_gateways_and_is_never_replaced_by_an_older_version) {
   served_world World;
   json Old = World.usualRouting();
   json New = World.usualRouting();
   New["routes"].push_back(New["routes"][0]);
   New["routes"].back()["path_prefix"] = "/added/";
   BOOST_TEST(World.putRouting(New).Status == 200);
-  World.until("the new route is there", [&] {
+  World.until("the new route is in force", [&] {
     return World.request("/added/x", {.Method = "GET"}).Status == 200;
   });
-  // An older one, a resend, and other content under the same number.
+  // An older version, a resend, and other content with the same version number
+  // are acknowledged but change nothing.
   BOOST_TEST(World.putRouting(Old).Status == 200);
   BOOST_TEST(World.putRouting(New).Status == 200);
   json Other = New;
@@ -517,27 +533,27 @@
   BOOST_TEST(World.request("/added/x", {.Method = "GET"}).Status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(serves_on_without_control_and_comes_back_after_it) {
+BOOST_AUTO_TEST_CASE(stays_in_force_without_control_and_returns_with_it) {
   served_world World;
   World.untilVoters(3);
   for (auto &Node : World.Seeded)
     Node->Process->kill();
   for (int I = 0; I < 4; ++I)
     BOOST_TEST(World.request("/safe/x", {.Method = "GET"}).Status == 200);
-  // A gateway that starts now knows no routing and refuses as not run.
+  // A gateway that starts now has no routing and refuses requests as not run.
   World.Gateway->kill();
   World.Gateway->start();
-  World.until("it listens", [&] {
+  World.until("the gateway listens", [&] {
     return World.request("/safe/x", {.Method = "GET"}).Status == 503;
   });
   for (auto &Node : World.Seeded)
     Node->Process->start();
-  World.until("it serves again", [&] {
+  World.until("the gateway serves again", [&] {
     return World.request("/safe/x", {.Method = "GET"}).Status == 200;
   });
 }
 
-BOOST_AUTO_TEST_CASE(follows_a_new_leader_when_the_old_one_stands_still) {
+BOOST_AUTO_TEST_CASE(changes_through_a_new_leader_when_the_old_one_is_frozen) {
   served_world World;
   World.untilVoters(3);
   seeded_control *Old = World.leaderOf();
@@ -549,22 +565,22 @@
     return World.request("/moved/x", {.Method = "GET"}).Status == 200;
   });
   Old->Process->signal(SIGCONT);
-  World.until("the old leader follows",
+  World.until("the old leader has stepped down",
               [&] { return !World.statusOf(*Old).value("leads", true); });
   BOOST_TEST(World.request("/moved/x", {.Method = "GET"}).Status == 200);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(members_by_seeds)
+BOOST_AUTO_TEST_SUITE(seeded_members)
 
-BOOST_AUTO_TEST_CASE(hold_what_was_acknowledged_through_two_lost_disks) {
+BOOST_AUTO_TEST_CASE(keep_acknowledged_changes_after_two_lost_disks) {
   gateway_world World(5);
   World.untilVoters(5);
   json Routing = World.usualRouting();
   BOOST_REQUIRE_EQUAL(World.putRouting(Routing).Status, 200);
   for (int Round = 0; Round < 2; ++Round) {
-    // Two lose their disks, the leader among them; they come back empty.
+    // Two members, the leader among them, lose their disks and restart empty.
     seeded_control *Leader = World.leaderOf();
     BOOST_REQUIRE(Leader);
     std::vector<seeded_control *> Lost = {Leader};
@@ -585,14 +601,14 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(replace_one_that_is_gone_by_a_new_one_at_a_new_address) {
+BOOST_AUTO_TEST_CASE(replace_a_lost_member_by_one_at_a_new_address) {
   gateway_world World(5);
   World.untilVoters(5);
   json Routing = World.usualRouting();
   BOOST_REQUIRE_EQUAL(World.putRouting(Routing).Status, 200);
   World.Seeded[4]->Process->kill();
   World.addControl(false).Process->start();
-  World.until("the new one votes in its place", [&] {
+  World.until("the new member votes in place of the lost one", [&] {
     seeded_control *Leader = World.leaderOf();
     if (!Leader)
       return false;
@@ -606,7 +622,7 @@
              Routing);
 }
 
-BOOST_AUTO_TEST_CASE(come_back_all_at_once) {
+BOOST_AUTO_TEST_CASE(recover_after_all_restart_at_once) {
   gateway_world World(5);
   World.untilVoters(5);
   json Routing = World.usualRouting();
@@ -623,10 +639,9 @@
 
 BOOST_AUTO_TEST_SUITE(roll_outs_of_services)
 
-BOOST_AUTO_TEST_CASE(
-    end_well_for_a_sound_version_and_are_taken_back_for_a_bad) {
+BOOST_AUTO_TEST_CASE(complete_for_a_healthy_version_and_revert_a_failing_one) {
   for (bool Good : {true, false})
-    BOOST_TEST_CONTEXT((Good ? "sound" : "bad")) {
+    BOOST_TEST_CONTEXT((Good ? "healthy version" : "failing version")) {
       served_world World;
       World.addReplica({.Id = "i-3", .Version = "v2"});
       World.addReplica({.Id = "i-4", .Version = "v2"});
@@ -638,7 +653,7 @@
       BOOST_REQUIRE_EQUAL(Begun.Status, 200);
       std::string State;
       int Sent = 0;
-      World.until("the roll-out has ended", [&] {
+      World.until("the roll-out has finished", [&] {
         World.request("/unsafe/x");
         ++Sent;
         caller_answer Read =
@@ -651,13 +666,14 @@
       BOOST_TEST(New > 0);
       if (!Good)
         BOOST_TEST(New < Sent * 15 / 100 + 30);
-      // The gateway hears of it within its next question.
+      // The gateway receives the result with its next poll of control.
       World.run(1);
-      int Then = World.Replicas["i-3"]->runs() + World.Replicas["i-4"]->runs();
+      int RunsAtEnd =
+          World.Replicas["i-3"]->runs() + World.Replicas["i-4"]->runs();
       for (int I = 0; I < 6; ++I)
         World.request("/unsafe/x");
-      int Since =
-          World.Replicas["i-3"]->runs() + World.Replicas["i-4"]->runs() - Then;
+      int Since = World.Replicas["i-3"]->runs() +
+                  World.Replicas["i-4"]->runs() - RunsAtEnd;
       BOOST_TEST(Since == (Good ? 6 : 0));
     }
 }
--- a/tests/system/list_test.cpp
+++ b/tests/system/list_test.cpp
@@ -1,9 +1,10 @@
-//===- list_test.cpp - Odd and restarted entries of the platform's list ---===//
+//===- list_test.cpp - Malformed and restarted entries of the list --------===//
 //
-// Others write into the platform's list too, and an upstream may start again
-// under the id that it had. One entry that could not be read made the whole
-// list count as not had: gateways and control went on with an old one, and an
-// old one sends work to upstreams that leave.
+// Guards against rejecting the platform's whole list of upstreams because of
+// one malformed entry: gateways and control then keep an old list and send
+// requests to upstreams that are leaving. Malformed entries come about because
+// other software writes to the list too. Also covers upstreams that restart
+// under the same id.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,62 +23,67 @@
     BOOST_REQUIRE_EQUAL(putRouting(usualRouting()).Status, 200);
     startGateway("gateway-1");
     untilGatewayReady("gateway-1");
-    until("upstreams are known", [&] { return served(); });
+    until("the gateway serves requests", [&] { return served(); });
   }
   bool served() { return request("/safe/x", {.Method = "GET"}).Status == 200; }
-  bool logs(const std::string &Text) {
+  bool hasLogged(const std::string &Text) {
     return Gateway->logText().find(Text) != std::string::npos;
   }
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(entries_of_the_list)
+BOOST_AUTO_TEST_SUITE(list_entries)
 
-BOOST_AUTO_TEST_CASE(that_are_odd_leave_the_others_in_force) {
+BOOST_AUTO_TEST_CASE(that_are_malformed_do_not_invalidate_the_others) {
   listed_world World;
-  json Odd = World.List->entryOf("i-1");
-  Odd["id"] = "i-0";
-  Odd.erase("state");
-  World.List->putRaw("i-0", Odd);
+  json Malformed = World.List->entryOf("i-1");
+  Malformed["id"] = "i-0";
+  Malformed.erase("state");
+  World.List->putRaw("i-0", Malformed);
   World.List->putRaw("i-00", {{"id", 7}, {"service", json::array()}});
   World.List->putRaw("i-000", "not an entry");
   World.List->remove("i-1");
-  World.until("the list is followed", [&] { return World.logs("\"left\":1"); });
+  World.until("the list is applied",
+              [&] { return World.hasLogged("\"left\":1"); });
   for (int I = 0; I < 6; ++I)
     BOOST_TEST(World.served());
 }
 
-BOOST_AUTO_TEST_CASE(with_bytes_that_are_no_text_leave_the_others_in_force) {
+BOOST_AUTO_TEST_CASE(with_invalid_utf8_do_not_invalidate_the_others) {
   listed_world World;
   World.List->Garbage =
       "{\"id\":\"\xff\xfe\",\"service\":\"plain\"},{\"id\":tru,";
   World.List->remove("i-1");
-  World.until("the list is followed", [&] { return World.logs("\"left\":1"); });
+  World.until("the list is applied",
+              [&] { return World.hasLogged("\"left\":1"); });
   for (int I = 0; I < 6; ++I)
     BOOST_TEST(World.served());
 }
 
-BOOST_AUTO_TEST_CASE(with_a_new_start_are_other_upstreams) {
+BOOST_AUTO_TEST_CASE(with_a_new_start_time_are_new_upstreams) {
   listed_world World;
   json Entry = World.List->entryOf("i-1");
   Entry["born"] = 1760000000000;
   World.List->putRaw("i-1", Entry);
   World.List->remove("i-2");
-  World.until("it is the only one", [&] { return World.logs("\"listed\":1"); });
+  World.until("only one upstream is listed",
+              [&] { return World.hasLogged("\"listed\":1"); });
   Entry["born"] = 1760000100000;
   World.List->putRaw("i-1", Entry);
-  // Nothing is listed less, but all that was known of it is gone.
-  World.until("what was there has left", [&] {
-    return World.logs(
+  // The number of listed upstreams is unchanged, but the state held for the
+  // upstream is discarded.
+  World.until("the previous start is recorded as left", [&] {
+    return World.hasLogged(
         "\"left\":1,\"level\":\"info\",\"listed\":1,\"message\":"
         "\"upstreams changed\",\"node\":\"gateway-1\",\"restarted\":1");
   });
   BOOST_TEST(World.served());
 }
 
-// Many gateways that start together would keep the platform from answering.
-BOOST_AUTO_TEST_CASE(are_left_to_control_by_gateways_that_start) {
+// Guards against overloading the platform: if many gateways that start together
+// polled the list themselves, the platform could not respond to any of them.
+BOOST_AUTO_TEST_CASE(are_not_polled_by_gateways_that_start) {
   gateway_world World;
   World.addReplica({.Id = "i-1"});
   World.List->Refusals = 1000000;
@@ -90,7 +96,7 @@
   World.untilGatewayReady("gateway-1");
   BOOST_TEST(World.request("/safe/x").Status == 200);
   BOOST_TEST(ForGateways.Questions == 0);
-  BOOST_TEST_CONTEXT("but not for ever") {
+  BOOST_TEST_CONTEXT("a gateway polls the list itself if control has none") {
     World.List->Refusals = 1000000;
     for (auto &Node : World.Seeded)
       Node->Process->kill();
@@ -98,7 +104,7 @@
     for (auto &Node : World.Seeded)
       Node->Process->start();
     World.Gateway->start();
-    World.until("it asks for itself",
+    World.until("the gateway polls the list",
                 [&] { return ForGateways.Questions > 0; });
   }
 }
--- a/tests/system/main.cpp
+++ b/tests/system/main.cpp
@@ -1,7 +1,7 @@
-//===- main.cpp - The promises, with real processes -----------------------===//
+//===- main.cpp - System tests with real processes ------------------------===//
 //
-// Each promise under the faults that threaten it, a suite for each group. The
-// table of promises is docs/PROMISES.md.
+// The guarantees listed in docs/PROMISES.md, each tested under the faults that
+// threaten it, with one suite for each group.
 //
 //===----------------------------------------------------------------------===//
 
--- a/tests/system/once_test.cpp
+++ b/tests/system/once_test.cpp
@@ -1,4 +1,4 @@
-//===- once_test.cpp - Requests that may run once -------------------------===//
+//===- once_test.cpp - Requests that may run only once --------------------===//
 
 #include "boost/test/unit_test.hpp"
 #include "tests/world.h"
@@ -20,17 +20,18 @@
   } At;
 };
 
-// In each case a caller books, something dies while the booking runs, and the
-// caller asks again with the same key at the other entry.
-BOOST_AUTO_TEST_CASE(run_once_whatever_dies) {
+// Guards against running a request with an idempotency key twice. In each case
+// a process or a connection fails while a booking runs, and the caller sends
+// the request again with the same key to the other entry.
+BOOST_AUTO_TEST_CASE(run_once_under_any_single_fault) {
   using at = once_fault::at;
   const once_fault Cases[] = {
-      {"nothing", at::None},
+      {"nothing fails", at::None},
       {"the entry is killed while it runs", at::EntryKilled},
       {"the sidecar is killed while it runs", at::SidecarKilled},
       {"the leader is killed while it runs", at::LeaderKilled},
       {"the path to the sidecar is cut while it runs", at::CutToSidecar},
-      {"the caller leaves while it runs", at::CallerGone},
+      {"the caller disconnects while it runs", at::CallerGone},
   };
   world World;
   World.startUsual();
@@ -61,7 +62,7 @@
       Sidecar.Path->set(proxy_fault::None);
       caller_answer Again;
       World.until(
-          "the caller learns the outcome",
+          "the caller receives the outcome",
           [&] {
             Again = World.call(World.Entries["entry-2"]->Address.text(),
                                booking(Key, 700));
@@ -73,9 +74,8 @@
         BOOST_TEST(Again.outcome() == "unknown");
       else
         BOOST_TEST(Again.Status == 200);
-      World.until("the first caller has an answer",
-                  [&] { return First->Done; });
-      // "not run" must never be said of a request that ran.
+      World.until("the first request is answered", [&] { return First->Done; });
+      // A request that ran must never be reported as "not run".
       BOOST_TEST(First->outcome() != "not-run");
       for (auto &[Name, Node] : World.Entries)
         if (!Node->Process->running())
@@ -102,12 +102,12 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(that_never_started_can_be_sent_again) {
+BOOST_AUTO_TEST_CASE(that_never_started_can_be_retried) {
   world World;
   World.startUsual();
   sidecar_node &Sidecar = *World.Sidecars["led"];
-  // The attempt falls into a hole on the way; the truth is found out when the
-  // path is back, and the key is free again.
+  // The attempt is lost on the way to the sidecar. Once the path is restored,
+  // the entry finds out that it never ran and the key can be used again.
   Sidecar.Path->set(proxy_fault::HoleToServer);
   caller_request Request = booking("lost", 0);
   Request.Headers.push_back("X-Deadline-Ms: 9000");
@@ -115,7 +115,7 @@
   World.run(1);
   Sidecar.Path->set(proxy_fault::Cut);
   Sidecar.Path->set(proxy_fault::None);
-  World.until("an answer", [&] { return First->Done; });
+  World.until("the request is answered", [&] { return First->Done; });
   uint64_t Runs = runsOf(World.engineCounts(Sidecar), "lost");
   BOOST_TEST(Runs <= 1U);
   if (First->Status == 200)
@@ -123,7 +123,7 @@
   if (First->outcome() == "not-run")
     BOOST_TEST(Runs == 0U);
   caller_answer Again;
-  World.until("the caller gets its booking", [&] {
+  World.until("the booking succeeds", [&] {
     Again = World.call(World.Entries["entry-2"]->Address.text(),
                        booking("lost", 0));
     return Again.Status == 200;
@@ -131,9 +131,10 @@
   BOOST_TEST(runsOf(World.engineCounts(Sidecar), "lost") == 1U);
 }
 
-// The claim stands, the attempt has not come to the sidecar, and the only one
-// who knew of it is dead: another entry finds out that it never started.
-BOOST_AUTO_TEST_CASE(whose_entry_dies_between_claim_and_send) {
+// Guards against a key that stays claimed for ever. The entry that claimed it
+// is killed before its attempt reaches the sidecar; another entry finds out
+// that the attempt never started and runs the request.
+BOOST_AUTO_TEST_CASE(whose_entry_is_killed_before_sending_can_be_retried) {
   world World;
   World.startUsual();
   sidecar_node &Sidecar = *World.Sidecars["led"];
@@ -148,7 +149,7 @@
   Sidecar.Path->set(proxy_fault::Cut);
   Sidecar.Path->set(proxy_fault::None);
   BOOST_TEST(runsOf(World.engineCounts(Sidecar), "orphan") == 0U);
-  World.until("the caller gets its booking", [&] {
+  World.until("the booking succeeds", [&] {
     caller_answer Again = World.call(World.Entries["entry-2"]->Address.text(),
                                      booking("orphan", 0));
     return Again.Status == 200;
