--- a/tests/system/path_test.cpp
+++ b/tests/system/path_test.cpp
@@ -1,4 +1,4 @@
-//===- path_test.cpp - One request from caller to engine and back ---------===//
+//===- path_test.cpp - Requests from the caller to the engine and back ----===//
 
 #include "boost/test/unit_test.hpp"
 #include "tests/world.h"
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A caller with a small receive buffer that reads only when it is told to.
+/// A caller with a small receive buffer that reads only on calls of read().
 class slow_caller {
 public:
   explicit slow_caller(const std::string &Address)
@@ -35,14 +35,16 @@
     BOOST_REQUIRE(::send(Socket, Bytes.data(), Bytes.size(), MSG_NOSIGNAL) ==
                   ssize_t(Bytes.size()));
   }
-  /// Adds what is there now; false at the end.
+  /// Appends the bytes that can be read without blocking to Out. Returns false
+  /// once the connection is closed.
   bool read(std::string &Out) const {
     std::array<char, 65536> Buffer{};
     for (;;) {
-      ssize_t Got = recv(Socket, Buffer.data(), Buffer.size(), MSG_DONTWAIT);
-      if (Got <= 0)
-        return Got < 0;
-      Out.append(Buffer.data(), size_t(Got));
+      ssize_t Received =
+          recv(Socket, Buffer.data(), Buffer.size(), MSG_DONTWAIT);
+      if (Received <= 0)
+        return Received < 0;
+      Out.append(Buffer.data(), size_t(Received));
     }
   }
 
@@ -52,14 +54,14 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(the_whole_path)
+BOOST_AUTO_TEST_SUITE(request_path)
 
 BOOST_AUTO_TEST_CASE(answers_plain_streamed_and_service_requests) {
   world World;
   World.startUsual(1);
   std::string Entry = World.Entries["entry-1"]->Address.text();
 
-  BOOST_TEST_CONTEXT("a plain answer says what ran") {
+  BOOST_TEST_CONTEXT("a plain response names the version and the upstream") {
     caller_answer Answer =
         World.call(Entry, {.Body = chatBody("plan", "tokens=3")});
     BOOST_TEST(Answer.Status == 200);
@@ -67,19 +69,19 @@
     BOOST_TEST(!Answer.upstream().empty());
     BOOST_TEST(json::parse(Answer.Body)["usage"]["completion_tokens"] == 3);
   }
-  BOOST_TEST_CONTEXT("a stream ends as the engine ended it") {
+  BOOST_TEST_CONTEXT("a stream is forwarded up to its end") {
     caller_answer Answer =
         World.call(Entry, {.Body = chatBody("plan", "tokens=40", true)});
     BOOST_TEST(Answer.Status == 200);
     BOOST_TEST(Answer.Error == "");
     BOOST_TEST(Answer.Body.ends_with("data: [DONE]\n\n"));
   }
-  BOOST_TEST_CONTEXT("a stream that breaks off ends in an error") {
+  BOOST_TEST_CONTEXT("a stream that is cut short ends in an error") {
     caller_answer Answer =
         World.call(Entry, {.Body = chatBody("plan", "tokens=40 cut=10", true)});
     BOOST_TEST(Answer.Error != "");
   }
-  BOOST_TEST_CONTEXT("a caller that leaves ends the work at the engine") {
+  BOOST_TEST_CONTEXT("the engine stops when the caller disconnects") {
     auto Cancelled = [&] {
       return World.engineCounts(*World.Sidecars["a"])["cancelled"]
                  .get<uint64_t>() +
@@ -129,11 +131,11 @@
        {.Body = std::string(9 << 20, 'x')},
        413,
        "body_too_large"},
-      {"a deadline that is none",
+      {"an invalid deadline",
        {.Body = Good, .Headers = {"X-Deadline-Ms: soon"}},
        400,
        "bad_request"},
-      {"a key that is no text",
+      {"an idempotency key that is not UTF-8",
        {.Path = "/ledger/book",
         .Body = "{}",
         .Headers = {"Idempotency-Key: \xff\xfe"}},
@@ -156,9 +158,10 @@
   }
 }
 
-// A caller that does not read holds its engine back; nothing piles up on the
-// way, and what it reads later is whole.
-BOOST_AUTO_TEST_CASE(a_slow_caller_holds_its_engine_back) {
+// Guards against buffering a response without bound for a caller that does not
+// read. Flow control reaches back to the engine, and the caller gets the
+// complete response when it reads later.
+BOOST_AUTO_TEST_CASE(a_slow_caller_throttles_its_engine) {
   world World;
   World.startUsual(1);
   constexpr uint64_t Tokens = 30000;
@@ -176,28 +179,29 @@
               "Authorization: Bearer demo-dispatch\r\nConnection: close\r\n"
               "Content-Length: " +
               std::to_string(Body.size()) + "\r\n\r\n" + Body);
-  World.until("the engine has made all of it",
+  World.until("the engine has generated all tokens",
               [&] { return Sum("finished") == FinishedBefore + 1; });
   uint64_t Before = 0;
-  World.until("nothing moves any more", [&] {
+  World.until("no more tokens are taken from the engine", [&] {
     uint64_t Taken = Sum("taken");
-    bool Still = Taken == Before;
+    bool Unchanged = Taken == Before;
     Before = Taken;
     World.run(0.5);
-    return Still;
+    return Unchanged;
   });
-  BOOST_TEST_MESSAGE("taken from the engine by a caller that does not read: "
-                     << Before << " of " << Tokens);
+  BOOST_TEST_MESSAGE(
+      "tokens taken from the engine for a caller that does not read: "
+      << Before << " of " << Tokens);
   BOOST_TEST(Before < Tokens / 2);
   std::string Answer;
-  World.until("the caller has read it all",
+  World.until("the caller has read the whole response",
               [&] { return !Caller.read(Answer); });
   BOOST_TEST(Answer.find("data: [DONE]\n\n") != std::string::npos);
   BOOST_TEST(Answer.ends_with("\r\n0\r\n\r\n"));
   BOOST_TEST(Answer.size() > Tokens * 1500);
 }
 
-BOOST_AUTO_TEST_CASE(one_request_too_many_hears_that_it_did_not_run) {
+BOOST_AUTO_TEST_CASE(a_request_above_the_limit_is_refused_as_not_run) {
   world World;
   World.EntrySettings = {{"max_open_requests", 2}};
   World.startUsual(1);
@@ -205,7 +209,7 @@
   std::vector<std::shared_ptr<caller_answer>> Open;
   for (int I = 0; I < 2; ++I)
     Open.push_back(World.begin(Entry, {.Body = chatBody("plan", "first=800")}));
-  World.until("both run", [&] {
+  World.until("both requests run", [&] {
     return World.engineCounts(*World.Sidecars["a"])["running"].get<int>() +
                World.engineCounts(*World.Sidecars["b"])["running"].get<int>() ==
            2;
@@ -214,7 +218,7 @@
   BOOST_TEST(Third.Status == 503);
   BOOST_TEST(Third.outcome() == "not-run");
   BOOST_TEST(Third.header("retry-after") == "1");
-  World.until("both have their answer",
+  World.until("both requests are answered",
               [&] { return Open[0]->Status == 200 && Open[1]->Status == 200; });
   caller_answer Wide =
       World.call(Entry, {.Body = chatBody("plan", "x"),
@@ -223,7 +227,7 @@
   BOOST_TEST(World.call(Entry, {.Body = chatBody("plan", "x")}).Status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(the_log_level_changes_while_it_runs) {
+BOOST_AUTO_TEST_CASE(the_log_level_can_be_changed_at_run_time) {
   world World;
   World.startUsual(1);
   entry_node &Entry = *World.Entries["entry-1"];
@@ -237,7 +241,8 @@
     caller_answer Answer =
         World.call(Entry.Address.text(), {.Body = chatBody("plan", Level)});
     std::string Id = Answer.header("x-request-id");
-    World.until("the answer is whole", [&] { return Answer.Status == 200; });
+    World.until("the response is complete",
+                [&] { return Answer.Status == 200; });
     World.run(0.1);
     return Entry.Process->logText().find(Id) != std::string::npos;
   };
--- a/tests/system/paths_test.cpp
+++ b/tests/system/paths_test.cpp
@@ -10,50 +10,55 @@
 
 namespace {
 
-/// One message of a sidecar that answers an attempt in its own way.
-struct rough_step {
+/// One message that a misbehaving sidecar sends in response to an attempt.
+struct response_step {
   enum class kind : uint8_t { Frame, End } Kind;
-  uint32_t Number;           ///< Of the frame, or how many the end counts.
-  bool OfAnotherOne = false; ///< Under the id of another request.
-  bool OfAnEarlierTry = false;
+  /// Sequence number of a frame, or the number of frames reported by an end.
+  uint32_t Number;
+  /// Carries the id of another request.
+  bool OfAnotherRequest = false;
+  /// Carries the number of an earlier attempt.
+  bool OfEarlierAttempt = false;
 };
 
-struct rough_case {
+struct response_case {
   const char *What;
-  std::vector<rough_step> Steps;
-  bool Whole; ///< Whether the caller gets an answer; else an error.
+  std::vector<response_step> Steps;
+  /// Whether the caller gets a complete response; otherwise it gets an error.
+  bool Complete;
 };
 
-constexpr std::array<std::string_view, 4> Pieces = {"one ", "two ", "three",
-                                                    "four"};
+constexpr std::array<std::string_view, 4> FrameTexts = {"one ", "two ", "three",
+                                                        "four"};
 
-/// Speaks to entries as a sidecar does and answers by the steps it is given.
-class rough_sidecar {
+/// Speaks the protocol of a sidecar and responds to attempts with the given
+/// steps.
+class misbehaving_sidecar {
 public:
-  explicit rough_sidecar(world &World)
+  explicit misbehaving_sidecar(world &World)
       : Server(Context, World.Loop,
                [this](const std::string &Peer, const wire::envelope &Message) {
                  receive(Peer, Message);
                }),
-        Timer(World.Loop, [this] { sayNews(); }) {
+        Timer(World.Loop, [this] { sendReport(); }) {
     BOOST_REQUIRE(Server.bind("127.0.0.1:0"));
     Timer.startRepeating(0.5);
   }
   std::string address() const { return Server.address(); }
 
-  std::vector<rough_step> Steps;
+  std::vector<response_step> Steps;
 
 private:
   void receive(const std::string &Peer, const wire::envelope &Message) {
     if (Message.has_hello()) {
       Peers.insert(Peer);
-      sayNews();
+      sendReport();
     }
     if (Message.has_attempt())
       answer(Peer, Message.attempt().id());
   }
 
-  void sayNews() {
+  void sendReport() {
     wire::envelope Message;
     Message.mutable_news()->set_upstream("rough");
     Message.mutable_news()->set_incarnation(7);
@@ -69,22 +74,22 @@
     Head.mutable_head()->set_status(200);
     Head.mutable_head()->set_content_type("text/event-stream");
     Server.send(Peer, Head);
-    for (const rough_step &Step : Steps) {
+    for (const response_step &Step : Steps) {
       wire::attempt_id Of = Id;
-      if (Step.OfAnotherOne)
+      if (Step.OfAnotherRequest)
         Of.set_request(Id.request() + 1000);
-      if (Step.OfAnEarlierTry)
+      if (Step.OfEarlierAttempt)
         Of.set_number(Id.number() - 1);
-      bool Wrong = Step.OfAnotherOne || Step.OfAnEarlierTry;
+      bool Wrong = Step.OfAnotherRequest || Step.OfEarlierAttempt;
       wire::envelope Message;
-      if (Step.Kind == rough_step::kind::End) {
+      if (Step.Kind == response_step::kind::End) {
         *Message.mutable_end()->mutable_id() = Of;
         Message.mutable_end()->set_frames(Step.Number);
       } else {
         *Message.mutable_frame()->mutable_id() = Of;
         Message.mutable_frame()->set_sequence(Step.Number);
         Message.mutable_frame()->set_data(
-            Wrong ? "WRONG" : std::string(Pieces[Step.Number]));
+            Wrong ? "WRONG" : std::string(FrameTexts[Step.Number]));
       }
       Server.send(Peer, Message);
     }
@@ -96,17 +101,17 @@
   timer Timer;
 };
 
-constexpr auto Frame = rough_step::kind::Frame;
-constexpr auto End = rough_step::kind::End;
+constexpr auto Frame = response_step::kind::Frame;
+constexpr auto End = response_step::kind::End;
 
-const std::vector<rough_step> Right = {
+const std::vector<response_step> CorrectSteps = {
     {Frame, 0}, {Frame, 1}, {Frame, 2}, {End, 3}};
 
-const rough_case RoughCases[] = {
-    {"frames of another request between",
+const response_case ResponseCases[] = {
+    {"frames of another request in between",
      {{Frame, 0}, {Frame, 1, true}, {Frame, 1}, {Frame, 2}, {End, 3}},
      true},
-    {"frames of an earlier try between",
+    {"frames of an earlier attempt in between",
      {{Frame, 0}, {Frame, 1, false, true}, {Frame, 1}, {Frame, 2}, {End, 3}},
      true},
     {"the end of another request first",
@@ -115,46 +120,47 @@
     {"a late frame after the end",
      {{Frame, 0}, {Frame, 1}, {Frame, 2}, {End, 3}, {Frame, 3}},
      true},
-    {"a frame twice",
+    {"a duplicate frame",
      {{Frame, 0}, {Frame, 0}, {Frame, 1}, {Frame, 2}, {End, 3}},
      false},
-    {"a frame missing", {{Frame, 0}, {Frame, 2}, {End, 2}}, false},
+    {"a missing frame", {{Frame, 0}, {Frame, 2}, {End, 2}}, false},
     {"two frames swapped",
      {{Frame, 0}, {Frame, 2}, {Frame, 1}, {End, 3}},
      false},
-    {"the last frame missing", {{Frame, 0}, {Frame, 1}, {End, 3}}, false},
-    {"an end that counts too few",
+    {"the last frame is missing", {{Frame, 0}, {Frame, 1}, {End, 3}}, false},
+    {"an end that reports too few frames",
      {{Frame, 0}, {Frame, 1}, {Frame, 2}, {End, 2}},
      false},
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(paths)
+BOOST_AUTO_TEST_SUITE(entry_sidecar_faults)
 
-// A caller gets the whole answer to its own request or an error, whatever
-// comes from the sidecar.
-BOOST_AUTO_TEST_CASE(frames_crossed_doubled_or_missing_are_no_answer) {
+// Guards against mixing up, truncating or duplicating responses: whatever the
+// sidecar sends, a caller gets the complete response to its own request or an
+// error.
+BOOST_AUTO_TEST_CASE(misplaced_duplicate_or_missing_frames_give_an_error) {
   world World;
   World.startUsual(1);
-  rough_sidecar Rough(World);
+  misbehaving_sidecar Misbehaving(World);
   json Config = World.usualConfig();
   Config["models"]["rough"] = {{"versions", {{"1", json::object()}}}};
   Config["accounts"]["dispatch"]["models"] = {"olive-llm", "rough"};
-  Config["upstreams"]["rough"] = {{"address", Rough.address()},
+  Config["upstreams"]["rough"] = {{"address", Misbehaving.address()},
                                   {"data_hall", "charguia"},
                                   {"versions", {"rough@1"}}};
   BOOST_REQUIRE(World.apply(Config).value("in_force", false));
   std::string Entry = World.Entries["entry-1"]->Address.text();
-  auto Ask = [&](bool Stream) {
+  auto SendRequest = [&](bool Stream) {
     return World.ask(Entry, {.Body = chatBody("rough", "x", Stream)});
   };
-  for (const rough_case &Case : RoughCases)
+  for (const response_case &Case : ResponseCases)
     for (bool Stream : {false, true}) {
       BOOST_TEST_CONTEXT(Case.What << (Stream ? ", streamed" : ", plain")) {
-        Rough.Steps = Case.Steps;
-        caller_answer Answer = Ask(Stream);
-        if (Case.Whole) {
+        Misbehaving.Steps = Case.Steps;
+        caller_answer Answer = SendRequest(Stream);
+        if (Case.Complete) {
           BOOST_TEST(Answer.Status == 200);
           BOOST_TEST(Answer.Error == "");
           BOOST_TEST(Answer.Body == "one two three");
@@ -163,9 +169,9 @@
           BOOST_TEST(Broken, Answer.Status << " " << Answer.Body);
         }
         BOOST_TEST(Answer.Body.find("WRONG") == std::string::npos);
-        // A good answer between closes the breaker.
-        Rough.Steps = Right;
-        BOOST_TEST(Ask(Stream).Body == "one two three");
+        // A complete response in between closes the circuit breaker.
+        Misbehaving.Steps = CorrectSteps;
+        BOOST_TEST(SendRequest(Stream).Body == "one two three");
       }
     }
 }
@@ -175,17 +181,18 @@
   proxy_fault Fault;
 };
 
-// Every fault on the way to one engine and to the service: what callers are
-// told is held against what ran.
-BOOST_AUTO_TEST_CASE(faults_on_the_way_leave_only_true_answers) {
+// Guards against reporting a wrong outcome under network faults. Each fault is
+// applied to the path to one engine and to the service, and the reported
+// outcomes are compared with what ran.
+BOOST_AUTO_TEST_CASE(network_faults_cause_no_wrong_outcomes) {
   const path_fault Cases[] = {
-      {"cut", proxy_fault::Cut},
-      {"a hole both ways", proxy_fault::Hole},
-      {"a hole towards the sidecar", proxy_fault::HoleToServer},
-      {"a hole towards the entry", proxy_fault::HoleToClient},
-      {"half closed", proxy_fault::HalfClose},
-      {"dripping", proxy_fault::Drip},
-      {"slow", proxy_fault::Slow},
+      {"connections are cut", proxy_fault::Cut},
+      {"bytes are lost in both directions", proxy_fault::Hole},
+      {"bytes are lost towards the sidecar", proxy_fault::HoleToServer},
+      {"bytes are lost towards the entry", proxy_fault::HoleToClient},
+      {"connections are half closed", proxy_fault::HalfClose},
+      {"bytes arrive in small pieces", proxy_fault::Drip},
+      {"the path is slow", proxy_fault::Slow},
   };
   world World;
   World.startUsual(1);
@@ -222,13 +229,14 @@
         return std::all_of(Answers.begin(), Answers.end(),
                            [](const auto &A) { return A.second->Done; });
       };
-      World.until("all have an answer", [&] {
+      World.until("all requests are answered", [&] {
         return AllDone(Bookings) && AllDone(Plain) &&
                std::all_of(Streams.begin(), Streams.end(),
                            [](const auto &A) { return A->Done; });
       });
-      // TCP loses no bytes in the middle: a hole ends in a reset, or what came
-      // after it would be read as the rest of a message that was swallowed.
+      // TCP does not lose bytes in the middle of a connection. A fault that
+      // swallowed bytes must end in a reset, or later bytes would be read as
+      // the rest of a swallowed message.
       for (const char *Name : {"a", "led"}) {
         World.Sidecars[Name]->Path->set(proxy_fault::Cut);
         World.Sidecars[Name]->Path->set(proxy_fault::None);
@@ -256,7 +264,7 @@
       BOOST_TEST_MESSAGE(Case.What << ": served " << Served << " of 12");
       for (auto &Item : World.Entries) {
         std::string Entry = Item.second->Address.text();
-        World.until("it serves as before", [&] {
+        World.until("the entry serves as before", [&] {
           std::string Key = "path-" + std::to_string(++Booking);
           return World.call(Entry, booking(Key)).Status == 200 &&
                  World.call(Entry, {.Body = chatBody("plan", "x")}).Status ==
--- a/tests/system/pauses_test.cpp
+++ b/tests/system/pauses_test.cpp
@@ -1,8 +1,9 @@
-//===- pauses_test.cpp - Processes that stand still and wake --------------===//
+//===- pauses_test.cpp - Processes that are suspended and resumed ---------===//
 //
-// A process that stood still holds what was true before. What reached it
-// meanwhile lies unread in its sockets, callers' requests among them, and its
-// timers are long due.
+// Guards against acting on stale state after a process was suspended. When it
+// resumes, it holds the state from before the pause, messages and callers'
+// requests that arrived meanwhile are unread in its sockets, and its timers are
+// overdue.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,11 +15,11 @@
 
 namespace {
 
-// Work that comes to a leaving upstream later than this after it was listed so
-// is lost there; a pause of this length outlasts it.
+// Longer than a leaving upstream still accepts requests after it was listed as
+// leaving; a request that reaches it after the pause is lost.
 constexpr double PauseSeconds = 5;
 
-/// A gateway before two upstreams. One leaves while the gateway stands still.
+/// A gateway in front of two upstreams.
 class paused_world : public gateway_world {
 public:
   paused_world() {
@@ -38,17 +39,17 @@
     until("the pause is over", [&] { return steadySeconds() >= End; });
   }
 
-  /// Begun while the gateway stands still, each on a connection of its own.
+  /// Sends requests while the gateway is suspended, each on its own connection.
   std::vector<std::shared_ptr<caller_answer>> beginMany(int Count) {
     std::vector<std::shared_ptr<caller_answer>> Answers;
     for (int I = 0; I < Count; ++I)
       Answers.push_back(beginRequest("/safe/x", {.Method = "GET"}));
-    // Their bytes are on the way to the gateway's sockets.
+    // Until their bytes have reached the gateway's sockets.
     pauseFor(0.3);
     return Answers;
   }
-  void areServed(const std::vector<std::shared_ptr<caller_answer>> &Answers) {
-    until("all are answered", [&] {
+  void testServed(const std::vector<std::shared_ptr<caller_answer>> &Answers) {
+    until("all requests are answered", [&] {
       return std::all_of(Answers.begin(), Answers.end(),
                          [](const auto &Each) { return Each->Done; });
     });
@@ -61,7 +62,7 @@
 
 BOOST_AUTO_TEST_SUITE(pauses)
 
-BOOST_AUTO_TEST_CASE(leave_no_work_for_an_upstream_that_left_meanwhile) {
+BOOST_AUTO_TEST_CASE(cause_no_requests_to_an_upstream_that_left_meanwhile) {
   paused_world World;
   World.Gateway->signal(SIGSTOP);
   World.List->put(*World.Replicas["i-2"], World.Paths["i-2"]->address(),
@@ -70,11 +71,11 @@
   auto Answers = World.beginMany(20);
   int Before = World.Replicas["i-2"]->runs();
   World.Gateway->signal(SIGCONT);
-  World.areServed(Answers);
+  World.testServed(Answers);
   BOOST_TEST(World.Replicas["i-2"]->runs() == Before);
 }
 
-BOOST_AUTO_TEST_CASE(do_not_keep_a_gateway_that_is_cut_off_from_serving) {
+BOOST_AUTO_TEST_CASE(do_not_stop_a_disconnected_gateway_from_serving) {
   paused_world World;
   World.Gateway->signal(SIGSTOP);
   for (auto &Node : World.Seeded)
@@ -83,25 +84,25 @@
   World.pauseFor(PauseSeconds);
   auto Answers = World.beginMany(4);
   World.Gateway->signal(SIGCONT);
-  World.areServed(Answers);
+  World.testServed(Answers);
 }
 
-BOOST_AUTO_TEST_CASE(lose_no_answer_that_came_meanwhile) {
+BOOST_AUTO_TEST_CASE(lose_no_response_that_arrived_meanwhile) {
   paused_world World;
   auto Answer =
       World.beginRequest("/safe/x?late=300",
                          {.Method = "GET", .Headers = {"X-Deadline-Ms: 9000"}});
   std::string Id = World.LastId;
-  World.until("it is at work", [&] {
+  World.until("the request runs at an upstream", [&] {
     return World.Replicas["i-1"]->runs(Id) + World.Replicas["i-2"]->runs(Id) ==
            1;
   });
   World.Gateway->signal(SIGSTOP);
-  // Longer than a gateway waits for a silent upstream; the answer came long
-  // before.
+  // Longer than the gateway waits for an upstream that sends nothing. The
+  // response arrived long before that limit.
   World.pauseFor(2);
   World.Gateway->signal(SIGCONT);
-  World.until("it is answered", [&] { return Answer->Done; });
+  World.until("the request is answered", [&] { return Answer->Done; });
   BOOST_TEST(Answer->Status == 200);
   BOOST_TEST(
       World.Replicas["i-1"]->runs(Id) + World.Replicas["i-2"]->runs(Id) == 1);
--- a/tests/system/placement_test.cpp
+++ b/tests/system/placement_test.cpp
@@ -1,4 +1,4 @@
-//===- placement_test.cpp - Versions loaded by order of control -----------===//
+//===- placement_test.cpp - Loading of versions as assigned by control ----===//
 
 #include "boost/test/unit_test.hpp"
 #include "tests/world.h"
@@ -16,10 +16,11 @@
   return Model;
 }
 
-/// Four managed upstreams with room for two versions each, in two data halls.
-class placed_world : public world {
+/// Four upstreams managed by control in two data halls, each with room for two
+/// versions.
+class placement_world : public world {
 public:
-  placed_world() {
+  placement_world() {
     startControl(3);
     for (const char *Name : Names)
       startSidecar(Name, hallOf(Name));
@@ -46,8 +47,9 @@
     return Name < "p3" ? "charguia" : "lac";
   }
 
-  /// Engines that hold the version, of those whose sidecar runs.
-  size_t holders(const std::string &Version) {
+  /// Number of engines that have the version loaded, among those whose sidecar
+  /// is running.
+  size_t loadedCount(const std::string &Version) {
     size_t Count = 0;
     for (const char *Name : Names) {
       if (!Sidecars[Name]->Process->running())
@@ -58,13 +60,13 @@
     return Count;
   }
 
-  void untilHeld(const std::string &Version, size_t Least) {
+  void untilLoaded(const std::string &Version, size_t MinCount) {
     until(
-        Version + " held by " + std::to_string(Least),
-        [&] { return holders(Version) >= Least; }, 60);
+        Version + " is loaded by " + std::to_string(MinCount),
+        [&] { return loadedCount(Version) >= MinCount; }, 60);
   }
 
-  caller_answer askVersion(const std::string &Version) {
+  caller_answer requestVersion(const std::string &Version) {
     return ask(Entries["entry-1"]->Address.text(),
                {.Body = chatBody("olive-llm@" + Version, "x")});
   }
@@ -89,19 +91,20 @@
 
 BOOST_AUTO_TEST_SUITE(placement)
 
-// Roll in, roll out, and everything that can be lost on the way.
-BOOST_AUTO_TEST_CASE(loads_and_unloads_versions_whatever_is_lost) {
-  placed_world World;
-  World.untilHeld("olive-llm@1", 4);
-  World.untilHeld("olive-llm@2", 4);
+// Guards against versions that are not loaded or unloaded as assigned because
+// the leader is killed, an engine restarts, or an old order arrives late.
+BOOST_AUTO_TEST_CASE(loads_and_unloads_versions_under_faults) {
+  placement_world World;
+  World.untilLoaded("olive-llm@1", 4);
+  World.untilLoaded("olive-llm@2", 4);
   for (const char *Version : {"1", "2"})
-    BOOST_TEST(World.askVersion(Version).Status == 200);
+    BOOST_TEST(World.requestVersion(Version).Status == 200);
 
-  BOOST_TEST_MESSAGE("a new version, and the leader dies right after it");
+  BOOST_TEST_MESSAGE("the leader is killed right after a new version is added");
   World.putObject("model", "olive-llm", rollingModel("active", "rolling"));
   World.leader().Process->kill();
-  World.untilHeld("olive-llm@3", 2);
-  BOOST_TEST(World.askVersion("3").Status == 200);
+  World.untilLoaded("olive-llm@3", 2);
+  BOOST_TEST(World.requestVersion("3").Status == 200);
   for (auto &Node : World.Control)
     if (!Node->Process->running())
       Node->Process->start();
@@ -111,32 +114,34 @@
                                 rollingModel("withdrawn", "active"), 40);
   BOOST_TEST(Answer.value("in_force", false));
   World.until(
-      "1 is unloaded", [&] { return World.holders("olive-llm@1") == 0; }, 60);
-  World.untilHeld("olive-llm@3", 4);
+      "version 1 is unloaded",
+      [&] { return World.loadedCount("olive-llm@1") == 0; }, 60);
+  World.untilLoaded("olive-llm@3", 4);
 
-  BOOST_TEST_MESSAGE("an engine starts anew and holds nothing");
+  BOOST_TEST_MESSAGE("an engine restarts with no version loaded");
   World.steerEngine(*World.Sidecars["p1"]->Engine, {{"forget_models", true}});
-  World.untilHeld("olive-llm@3", 4);
+  World.untilLoaded("olive-llm@3", 4);
 
-  BOOST_TEST_MESSAGE("an order that came late, from a sidecar long gone");
+  BOOST_TEST_MESSAGE("a late order of a sidecar that has since been replaced");
   stand_in &Engine = *World.Sidecars["p2"]->Engine;
   caller_answer Late = World.call(
       Engine.address(), {.Method = "PUT",
                          .Path = "/models",
                          .Body = R"({"fence": 1, "models": ["olive-llm@1"]})"});
   BOOST_TEST(Late.Status == 409);
-  BOOST_TEST(World.askVersion("3").Status == 200);
+  BOOST_TEST(World.requestVersion("3").Status == 200);
   BOOST_TEST(World.sum("unheld") == 0U);
 }
 
-// Two upstreams are all that hold a version; with one lost, another takes it.
-BOOST_AUTO_TEST_CASE(makes_up_for_a_lost_upstream) {
-  placed_world World;
+// Guards against serving a version from too few upstreams: when one of the only
+// two that have it loaded is lost, control assigns the version to another one.
+BOOST_AUTO_TEST_CASE(replaces_a_lost_upstream) {
+  placement_world World;
   World.putObject("model", "olive-llm", rollingModel("active", "rolling"));
-  World.untilHeld("olive-llm@3", 2);
-  World.until("every version twice", [&] {
-    return World.holders("olive-llm@1") >= 2 &&
-           World.holders("olive-llm@2") >= 2;
+  World.untilLoaded("olive-llm@3", 2);
+  World.until("every version is loaded twice", [&] {
+    return World.loadedCount("olive-llm@1") >= 2 &&
+           World.loadedCount("olive-llm@2") >= 2;
   });
   std::string Lost;
   for (const char *Name : Names) {
@@ -145,13 +150,14 @@
       Lost = Name;
   }
   World.Sidecars[Lost]->Process->kill();
-  World.untilHeld("olive-llm@3", 2);
-  BOOST_TEST(World.askVersion("3").Status == 200);
+  World.untilLoaded("olive-llm@3", 2);
+  BOOST_TEST(World.requestVersion("3").Status == 200);
 
-  BOOST_TEST_MESSAGE("it comes back, and an operator's file does not undo what "
-                     "control has assigned");
+  BOOST_TEST_MESSAGE(
+      "the upstream returns, and a change by an operator does not "
+      "undo the assignments of control");
   World.Sidecars[Lost]->Process->start();
-  World.untilHeld("olive-llm@3", 2);
+  World.untilLoaded("olive-llm@3", 2);
   json Upstream = {{"address", World.Sidecars["p1"]->Path->address()},
                    {"data_hall", "charguia"},
                    {"room", 2},
@@ -160,7 +166,7 @@
   BOOST_TEST(
       World.putObject("upstream", "p1", Upstream).value("in_force", false));
   for (const char *Version : {"1", "2", "3"})
-    BOOST_TEST(World.askVersion(Version).Status == 200);
+    BOOST_TEST(World.requestVersion(Version).Status == 200);
   BOOST_TEST(World.sum("unheld") == 0U);
 }
 
--- a/tests/system/repeats_test.cpp
+++ b/tests/system/repeats_test.cpp
@@ -1,8 +1,9 @@
-//===- repeats_test.cpp - What one service gets beyond first arrivals -----===//
+//===- repeats_test.cpp - Limit on retries to the upstreams of a service --===//
 //
-// Arrivals at upstreams beyond the first of each request stay within the bound
-// that the settings tell, counted at the upstreams, whatever they answer and
-// however often the gateway starts.
+// Guards against retries that overload a service. Counted at the upstreams, the
+// arrivals beyond the first of each request stay within the bound of the
+// settings (retry_ratio, retry_slack), whatever the upstreams respond and
+// however often the gateway restarts.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,7 +14,7 @@
 
 namespace {
 
-// One window holds the whole test, however slow the machine is.
+// Long enough for the whole test to lie in one window, also on a slow machine.
 constexpr double WindowSeconds = 600;
 
 struct shared_bound {
@@ -35,35 +36,36 @@
 
   void untilServing() {
     untilGatewayReady("gateway-1");
-    until("upstreams are known", [&] { return ask() == 200; });
+    until("the gateway serves requests", [&] { return sendRequest() == 200; });
   }
-  /// Status of one request that may run more than once.
-  int ask() {
+  /// Sends one request that may be retried and returns its status.
+  int sendRequest() {
     int Status = request("/safe/x", {.Method = "GET"}).Status;
-    ++Asked;
+    ++RequestsSent;
     return Status;
   }
-  void ask(int Requests) {
+  void sendRequest(int Requests) {
     for (int I = 0; I < Requests; ++I)
-      ask();
+      sendRequest();
   }
-  /// Requests that never arrived anywhere count as arrived once, so this is not
-  /// more than what the upstreams got.
-  double repeats() const {
+  /// Number of retries that reached an upstream. A request that reached none
+  /// counts as one first arrival, so this is a lower bound.
+  double retries() const {
     int Arrivals = 0;
     for (const auto &[Id, Replica] : Replicas)
       Arrivals += Replica->arrivals();
-    for (const auto &Each : Strangers)
+    for (const auto &Each : OtherServices)
       Arrivals += Each->arrivals();
-    return Arrivals - Asked;
+    return Arrivals - RequestsSent;
   }
-  double allowed() const { return Bound.Ratio * Asked + Bound.Slack; }
+  double allowed() const { return Bound.Ratio * RequestsSent + Bound.Slack; }
 
-  /// Ends it; whoever has its address from now on declines its requests.
+  /// Crashes the upstream and lets a process of another service, which declines
+  /// its requests, take over its address.
   void giveAddressAway(const std::string &Id) {
     replica_options Options{.Id = "other-" + Id, .Service = "other"};
-    Strangers.push_back(std::make_unique<replica>(Loop, Options));
-    Paths[Id]->setTarget(Strangers.back()->address());
+    OtherServices.push_back(std::make_unique<replica>(Loop, Options));
+    Paths[Id]->setTarget(OtherServices.back()->address());
     Replicas[Id]->crash();
   }
   void failAll(bool Fail) {
@@ -73,41 +75,41 @@
 
 private:
   shared_bound Bound;
-  int Asked = 0;
-  std::vector<std::unique_ptr<replica>> Strangers;
+  int RequestsSent = 0;
+  std::vector<std::unique_ptr<replica>> OtherServices;
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(repeats)
+BOOST_AUTO_TEST_SUITE(service_retries)
 
-// Operators saw more repeats at a service than all gateways may send. A third
-// of its upstreams had crashed and their addresses had others before the list
-// said so: each request went from one to the next, and what was declined was
-// not counted. Proof: lines of the day's gateways, four in nine of the repeats
-// in the window were declined and uncounted; with them counted the same day
-// keeps to the bound.
-BOOST_AUTO_TEST_CASE(of_what_other_upstreams_declined_are_counted) {
+// Guards against retries that are not counted because an upstream declined the
+// request. This came about when a third of a service's upstreams had crashed
+// and other services had taken over their addresses before the list showed it:
+// each request was declined by one after another, and four in nine retries were
+// not counted, so that the service got more retries than the bound.
+BOOST_AUTO_TEST_CASE(after_declined_requests_are_counted) {
   bounded_world World(16, {.Ratio = 0, .Slack = 6});
   for (int I = 1; I <= 14; ++I)
     World.giveAddressAway("i-" + std::to_string(I));
-  World.ask(30);
-  BOOST_TEST(World.repeats() <= World.allowed());
+  World.sendRequest(30);
+  BOOST_TEST(World.retries() <= World.allowed());
 }
 
-// The same on days when gateways lost power, once and again, while requests
-// failed: what they had sent before a start was forgotten, and allowed anew.
-BOOST_AUTO_TEST_CASE(of_a_gateway_before_it_started_anew_are_counted) {
+// Guards against a retry budget that starts afresh with the process: gateways
+// that lost power repeatedly while requests failed forgot the retries that they
+// had sent before each restart.
+BOOST_AUTO_TEST_CASE(before_a_gateway_restart_are_counted) {
   bounded_world World(3, {.Ratio = 0.2, .Slack = 10});
   for (int I = 0; I < 8; ++I) {
     World.failAll(true);
-    World.ask(10);
+    World.sendRequest(10);
     World.failAll(false);
     World.Gateway->kill();
     World.Gateway->start();
     World.untilServing();
   }
-  BOOST_TEST(World.repeats() <= World.allowed());
+  BOOST_TEST(World.retries() <= World.allowed());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/system/rest_test.cpp
+++ b/tests/system/rest_test.cpp
@@ -1,7 +1,9 @@
-//===- rest_test.cpp - Upstreams that want nothing for a while, or leave --===//
+//===- rest_test.cpp - Upstreams that are backing off or leaving ----------===//
 //
-// An upstream that refuses with a time gets nothing from that gateway until it
-// is over, by no way; one that says that it leaves gets nothing more at all.
+// Guards against sending requests to an upstream that has refused one with
+// Retry-After before that time is over, through any of the paths that choose an
+// upstream, and against sending any more requests to one that has reported that
+// it is leaving.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,43 +15,46 @@
 
 namespace {
 
-constexpr double RestSeconds = 3;
-// What was under way when the upstream refused may still arrive.
+constexpr double BackoffSeconds = 3;
+// Requests in flight when the upstream refused may still arrive for this long.
 constexpr double GraceSeconds = 0.5;
-constexpr int FewMore = 2;
+/// Limit on the requests that were still in flight at the refusal.
+constexpr int MaxInFlight = 2;
 
-class resting_world : public gateway_world {
+class backoff_world : public gateway_world {
 public:
-  explicit resting_world(size_t Upstreams) {
+  explicit backoff_world(size_t Upstreams) {
     for (size_t I = 1; I <= Upstreams; ++I)
       addReplica({.Id = "i-" + std::to_string(I)});
     startServing(usualRouting());
   }
-  int ask(const std::string &Path, caller_request Request = {}) {
+  int sendRequest(const std::string &Path, caller_request Request = {}) {
     return request(Path, std::move(Request)).Status;
   }
   void refuse(replica &Replica, const std::string &RetryAfter) {
     Replica.Refuses = true;
     Replica.RetryAfter = RetryAfter;
   }
-  /// Asks until it has refused a request. Returns when it did so at the latest.
+  /// Sends requests until the upstream has refused one. Returns the latest time
+  /// at which it did so.
   double untilRefused(replica &Replica) {
     int Before = Replica.arrivals();
-    until("it refuses", [&] {
-      ask("/safe/x");
+    until("the upstream refuses a request", [&] {
+      sendRequest("/safe/x");
       return Replica.arrivals() > Before;
     });
     return steadySeconds();
   }
-  /// Arrivals there from the end of the grace until the rest is over.
-  int arrivalsInRest(replica &Replica, double RefusedAt,
-                     const std::string &Path, caller_request Request = {}) {
+  /// Number of requests that reach the upstream between the end of the grace
+  /// period and the end of its backoff.
+  int arrivalsInBackoff(replica &Replica, double RefusedAt,
+                        const std::string &Path, caller_request Request = {}) {
     run(GraceSeconds);
     int Before = Replica.arrivals();
-    // The rest began some time before it was seen here.
+    // The backoff began some time before the test observed the refusal.
     constexpr double Margin = 0.5;
-    while (steadySeconds() < RefusedAt + RestSeconds - Margin)
-      BOOST_TEST(ask(Path, Request) == 200);
+    while (steadySeconds() < RefusedAt + BackoffSeconds - Margin)
+      BOOST_TEST(sendRequest(Path, Request) == 200);
     return Replica.arrivals() - Before;
   }
 };
@@ -59,46 +64,49 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(resting_upstreams)
+BOOST_AUTO_TEST_SUITE(upstreams_backing_off)
 
-BOOST_AUTO_TEST_CASE(get_no_requests_until_their_rest_is_over) {
-  resting_world World(3);
-  replica &Resting = *World.Replicas["i-1"];
-  World.refuse(Resting, std::to_string(RestSeconds));
-  double RefusedAt = World.untilRefused(Resting);
-  BOOST_TEST(World.arrivalsInRest(Resting, RefusedAt, "/safe/x") <= FewMore);
-  BOOST_TEST_CONTEXT("and then get some again") {
-    Resting.Refuses = false;
-    int Runs = Resting.runs();
-    World.until("it runs a request", [&] {
-      World.ask("/safe/x");
-      return Resting.runs() > Runs;
+BOOST_AUTO_TEST_CASE(get_no_requests_until_their_backoff_is_over) {
+  backoff_world World(3);
+  replica &BackingOff = *World.Replicas["i-1"];
+  World.refuse(BackingOff, std::to_string(BackoffSeconds));
+  double RefusedAt = World.untilRefused(BackingOff);
+  BOOST_TEST(World.arrivalsInBackoff(BackingOff, RefusedAt, "/safe/x") <=
+             MaxInFlight);
+  BOOST_TEST_CONTEXT("an upstream gets requests again after its backoff") {
+    BackingOff.Refuses = false;
+    int Runs = BackingOff.runs();
+    World.until("the upstream runs a request", [&] {
+      World.sendRequest("/safe/x");
+      return BackingOff.runs() > Runs;
     });
   }
 }
 
-BOOST_AUTO_TEST_CASE(get_none_for_a_larger_model_or_a_stream_that_goes_on) {
-  resting_world World(3);
-  replica &Resting = *World.Replicas["i-1"];
+BOOST_AUTO_TEST_CASE(get_no_larger_model_requests_or_resumed_streams) {
+  backoff_world World(3);
+  replica &BackingOff = *World.Replicas["i-1"];
   for (auto &[Id, Replica] : World.Replicas)
-    Replica->Confidence = 0.1; // A larger model is asked.
-  World.refuse(Resting, std::to_string(RestSeconds));
-  double RefusedAt = World.untilRefused(Resting);
-  BOOST_TEST(World.arrivalsInRest(Resting, RefusedAt,
-                                  "/stream/x?events=4&break=2",
-                                  AnyModel) <= FewMore);
+    Replica->Confidence =
+        0.1; // Low confidence: the request is repeated at a larger model.
+  World.refuse(BackingOff, std::to_string(BackoffSeconds));
+  double RefusedAt = World.untilRefused(BackingOff);
+  BOOST_TEST(World.arrivalsInBackoff(BackingOff, RefusedAt,
+                                     "/stream/x?events=4&break=2",
+                                     AnyModel) <= MaxInFlight);
 }
 
-BOOST_AUTO_TEST_CASE(that_all_rest_are_told_to_callers_at_once) {
-  resting_world World(2);
+BOOST_AUTO_TEST_CASE(that_all_back_off_refuse_callers_with_retry_after) {
+  backoff_world World(2);
   replica &Soon = *World.Replicas["i-1"];
   replica &Late = *World.Replicas["i-2"];
   World.refuse(Soon, "3");
   World.refuse(Late, "30");
-  int Others = Late.arrivals();
+  int OtherArrivals = Late.arrivals();
   World.untilRefused(Soon);
-  World.until("the other has refused too", [&] {
-    return World.ask("/safe/x") == 503 && Late.arrivals() > Others;
+  World.until("the other upstream has refused too", [&] {
+    return World.sendRequest("/safe/x") == 503 &&
+           Late.arrivals() > OtherArrivals;
   });
   int Before = Soon.arrivals();
   std::set<std::string> Advice;
@@ -115,33 +123,34 @@
   BOOST_TEST(Advice.size() > 1U);
 }
 
-BOOST_AUTO_TEST_CASE(are_not_left_for_long_by_an_absurd_time) {
-  resting_world World(1);
+BOOST_AUTO_TEST_CASE(with_an_invalid_retry_after_are_soon_used_again) {
+  backoff_world World(1);
   replica &Only = *World.Replicas["i-1"];
   for (const char *Absurd : {"-5", "0", "nan", "soon", "1e999"}) {
     World.refuse(Only, Absurd);
     World.untilRefused(Only);
     Only.Refuses = false;
-    World.until("it is asked again",
-                [&] { return World.ask("/safe/x") == 200; });
+    World.until("the upstream gets a request again",
+                [&] { return World.sendRequest("/safe/x") == 200; });
   }
 }
 
-BOOST_AUTO_TEST_CASE(that_say_they_leave_get_no_more_requests) {
-  resting_world World(2);
+BOOST_AUTO_TEST_CASE(that_report_leaving_get_no_more_requests) {
+  backoff_world World(2);
   replica &Leaving = *World.Replicas["i-1"];
   Leaving.SaysLeaving = true;
   int Before = Leaving.runs();
-  World.until("it answers", [&] {
-    World.ask("/safe/x");
+  World.until("the upstream responds", [&] {
+    World.sendRequest("/safe/x");
     return Leaving.runs() > Before;
   });
   World.run(GraceSeconds);
   Before = Leaving.arrivals();
   for (int I = 0; I < 20; ++I)
-    BOOST_TEST(World.ask("/safe/x") == 200);
+    BOOST_TEST(World.sendRequest("/safe/x") == 200);
   BOOST_TEST(Leaving.arrivals() == Before);
-  BOOST_TEST_CONTEXT("until they start again under their id") {
+  BOOST_TEST_CONTEXT(
+      "an upstream that restarts under the same id gets requests") {
     Leaving.SaysLeaving = false;
     json Entry = World.List->entryOf("i-1");
     Entry["born"] = 1760000000000;
@@ -149,8 +158,8 @@
     World.run(1);
     Entry["born"] = 1760000100000;
     World.List->putRaw("i-1", Entry);
-    World.until("it gets one", [&] {
-      World.ask("/safe/x");
+    World.until("the upstream gets a request", [&] {
+      World.sendRequest("/safe/x");
       return Leaving.arrivals() > Before;
     });
   }
--- a/tests/system/stops_test.cpp
+++ b/tests/system/stops_test.cpp
@@ -9,16 +9,17 @@
 
 namespace {
 
-/// As the platform's: asks each entry now and then whether it is ready and
-/// sends it nothing after two misses, until it is ready again.
+/// A load balancer like that of the platform. It polls the readiness of each
+/// entry and stops sending requests to an entry after two failed polls, until
+/// the entry is ready again.
 class balancer {
 public:
   explicit balancer(world &World) : World(World) {}
 
-  void ask() {
-    if (steadySeconds() < NextAsk)
+  void poll() {
+    if (steadySeconds() < NextPoll)
       return;
-    NextAsk = steadySeconds() + 0.2;
+    NextPoll = steadySeconds() + 0.2;
     for (auto &[Name, Node] : World.Entries)
       Misses[Name] = World.ready(Node->Health) ? 0 : Misses[Name] + 1;
   }
@@ -27,7 +28,7 @@
 private:
   world &World;
   std::map<std::string, int> Misses;
-  double NextAsk = 0;
+  double NextPoll = 0;
 };
 
 } // namespace
@@ -37,7 +38,7 @@
 BOOST_AUTO_TEST_CASE(a_session_keeps_its_version) {
   world World;
   World.startUsual();
-  auto Ask = [&](const std::string &Entry, int Session) {
+  auto SendRequest = [&](const std::string &Entry, int Session) {
     return World.ask(World.Entries[Entry]->Address.text(),
                      {.Body = chatBody("plan", "x"),
                       .Headers = {"X-Session: s" + std::to_string(Session)}});
@@ -45,43 +46,46 @@
   constexpr int Sessions = 30;
   std::map<int, std::string> Pinned;
   for (int I = 0; I < Sessions; ++I)
-    Pinned[I] = Ask("entry-1", I).version();
+    Pinned[I] = SendRequest("entry-1", I).version();
   std::set<std::string> Used;
   for (const auto &[Session, Version] : Pinned)
     Used.insert(Version);
   BOOST_TEST(Used.size() == 2U);
-  BOOST_TEST_CONTEXT("at the other entry, after new weights") {
+  BOOST_TEST_CONTEXT(
+      "the version stays at the other entry, after new weights") {
     json Weights = {{"candidates", {"olive-llm@1", "olive-llm@2"}},
                     {"policy", {{"kind", "split"}, {"weights", {0, 1}}}}};
     World.putObject("template", "plan", Weights);
     for (int I = 0; I < Sessions; ++I)
-      BOOST_TEST(Ask("entry-2", I).version() == Pinned[I]);
+      BOOST_TEST(SendRequest("entry-2", I).version() == Pinned[I]);
   }
-  BOOST_TEST_CONTEXT("after its entry died and a new leader came") {
+  BOOST_TEST_CONTEXT(
+      "the version stays after the loss of the entry and the leader") {
     World.Entries["entry-1"]->Process->kill();
     World.leader().Process->kill();
     World.Entries["entry-1"]->Process->start();
-    World.until("ready",
+    World.until("the entry is ready",
                 [&] { return World.ready(World.Entries["entry-1"]->Health); });
     for (int I = 0; I < Sessions; ++I)
-      BOOST_TEST(Ask("entry-1", I).version() == Pinned[I]);
+      BOOST_TEST(SendRequest("entry-1", I).version() == Pinned[I]);
   }
-  BOOST_TEST_CONTEXT("but not when its version is withdrawn") {
+  BOOST_TEST_CONTEXT("the version changes when it is withdrawn") {
     World.putObject("model", "olive-llm", modelWith("withdrawn", "active"));
     for (int I = 0; I < Sessions; ++I)
-      BOOST_TEST(Ask("entry-2", I).version() == "2");
+      BOOST_TEST(SendRequest("entry-2", I).version() == "2");
   }
 }
 
-// Streams run through every process while each is stopped and started anew.
-BOOST_AUTO_TEST_CASE(a_rolling_restart_cuts_no_request) {
+// Guards against aborting requests in a rolling restart: streams are in flight
+// through every process while each one is stopped and started again.
+BOOST_AUTO_TEST_CASE(a_rolling_restart_aborts_no_request) {
   world World;
   World.ExtraSettings = {{"unready_seconds", 1}};
   World.startUsual();
   balancer Balancer(World);
   struct tally {
-    int Whole = 0;
-    int Cut = 0;
+    int Complete = 0;
+    int Aborted = 0;
     int Refused = 0;
   } Tally;
   std::vector<std::shared_ptr<caller_answer>> Open;
@@ -89,19 +93,19 @@
     std::erase_if(Open, [&](const auto &Answer) {
       if (!Answer->Done)
         return false;
-      bool Whole = Answer->Status == 200 && Answer->Error.empty() &&
-                   Answer->Body.ends_with("data: [DONE]\n\n");
-      if (Whole)
-        ++Tally.Whole;
+      bool Complete = Answer->Status == 200 && Answer->Error.empty() &&
+                      Answer->Body.ends_with("data: [DONE]\n\n");
+      if (Complete)
+        ++Tally.Complete;
       else if (Answer->Status == 503 && Answer->outcome() == "not-run")
         BOOST_TEST(++Tally.Refused == 0, Answer->Body);
       else
-        ++Tally.Cut;
+        ++Tally.Aborted;
       return true;
     });
   };
   auto Send = [&] {
-    Balancer.ask();
+    Balancer.poll();
     for (auto &[Name, Node] : World.Entries)
       if (Balancer.sendsTo(Name) && Open.size() < 200)
         Open.push_back(
@@ -139,19 +143,21 @@
   for (auto &Node : World.Control)
     Restart(*Node->Process, nullptr);
   LoadFor(0.5);
-  World.until("all answers", [&] {
+  World.until("all requests are answered", [&] {
     Collect();
     return Open.empty();
   });
-  BOOST_TEST_MESSAGE("whole " << Tally.Whole << ", cut " << Tally.Cut
-                              << ", refused " << Tally.Refused);
-  BOOST_TEST(Tally.Whole > 500);
-  BOOST_TEST(Tally.Cut == 0);
+  BOOST_TEST_MESSAGE("complete " << Tally.Complete << ", aborted "
+                                 << Tally.Aborted << ", refused "
+                                 << Tally.Refused);
+  BOOST_TEST(Tally.Complete > 500);
+  BOOST_TEST(Tally.Aborted == 0);
   BOOST_TEST(Tally.Refused == 0);
 }
 
-// An operator takes an entry out of service and back, and learns when nothing
-// runs on it any more; a caller that still comes is served.
+// Guards against losing requests when an operator drains an entry and puts it
+// back into service. The operator sees when no more requests run on it, and a
+// request that still arrives is served. Also drains an upstream.
 BOOST_AUTO_TEST_CASE(an_operator_drains_an_entry_and_an_upstream) {
   world World;
   World.startUsual(1);
@@ -171,7 +177,7 @@
         return Node;
     return json();
   };
-  World.until("nothing runs there", [&] {
+  World.until("no more requests run at the entry", [&] {
     return Running->Done && Listed("entry-1")["open_requests"] == 0;
   });
   BOOST_TEST(Running->Status == 200);
--- a/tests/system/strangers_test.cpp
+++ b/tests/system/strangers_test.cpp
@@ -1,4 +1,4 @@
-//===- strangers_test.cpp - Who may speak, and what they cannot break -----===//
+//===- strangers_test.cpp - Unauthorized and malformed traffic ------------===//
 
 #include "boost/test/unit_test.hpp"
 #include "net/link.h"
@@ -19,17 +19,18 @@
 
 namespace {
 
-/// Sends bytes to an entry and returns all that comes back until the close.
-std::string talkRaw(world &World, const std::string &Address,
-                    const std::string &Bytes) {
+/// Sends raw bytes to Address and returns everything received until the
+/// connection is closed.
+std::string exchangeRaw(world &World, const std::string &Address,
+                        const std::string &Bytes) {
   tcp_stream Stream(World.Loop, Address);
-  std::string Got;
+  std::string Received;
   bool Ended = false;
-  Stream.OnBytes = [&](std::string_view More) { Got.append(More); };
+  Stream.OnBytes = [&](std::string_view More) { Received.append(More); };
   Stream.OnEnd = [&](bool) { Ended = true; };
   Stream.write(Bytes);
   World.until("the connection is closed", [&] { return Ended; });
-  return Got;
+  return Received;
 }
 
 void sendRaw(const std::string &Address, const std::string &Bytes) {
@@ -46,9 +47,9 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(strangers)
+BOOST_AUTO_TEST_SUITE(unauthorized_peers)
 
-BOOST_AUTO_TEST_CASE(are_kept_out_and_do_no_harm) {
+BOOST_AUTO_TEST_CASE(are_rejected_and_do_no_harm) {
   world World;
   std::array<char, 41> Public{};
   std::array<char, 41> Secret{};
@@ -66,20 +67,20 @@
   std::array<char, 41> OtherPublic{};
   std::array<char, 41> OtherSecret{};
   zmq_curve_keypair(OtherPublic.data(), OtherSecret.data());
-  struct stranger {
+  struct unauthorized_peer {
     const char *What;
     link_keys Keys;
   };
-  const stranger Strangers[] = {
-      {"without a key", {}},
-      {"with a key of its own", {OtherPublic.data(), OtherSecret.data()}},
+  const unauthorized_peer UnauthorizedPeers[] = {
+      {"a peer without a key", {}},
+      {"a peer with a foreign key", {OtherPublic.data(), OtherSecret.data()}},
   };
-  for (const stranger &Stranger : Strangers) {
-    BOOST_TEST_CONTEXT(Stranger.What) {
-      link_context Context(Stranger.Keys);
-      int Heard = 0;
+  for (const unauthorized_peer &Peer : UnauthorizedPeers) {
+    BOOST_TEST_CONTEXT(Peer.What) {
+      link_context Context(Peer.Keys);
+      int MessagesReceived = 0;
       client_link Link(Context, World.Loop, "stranger",
-                       [&](const wire::envelope &) { ++Heard; });
+                       [&](const wire::envelope &) { ++MessagesReceived; });
       Link.connect(Sidecar.Address.text());
       wire::envelope Hello;
       Hello.mutable_hello();
@@ -87,10 +88,10 @@
         Link.send(Hello);
         World.run(0.05);
       }
-      BOOST_TEST(Heard == 0);
+      BOOST_TEST(MessagesReceived == 0);
     }
   }
-  // Random bytes on every port, while valid traffic keeps its answers.
+  // Random bytes on every port must not disturb valid requests.
   std::mt19937_64 Random(7);
   std::vector<std::string> Ports = {Sidecar.Address.text(),
                                     World.Control[0]->Address.text(),
@@ -118,9 +119,10 @@
   }
 }
 
-// A peer that holds the system's key but sends attempts doubled, late or for
-// another start of the sidecar: none runs twice.
-BOOST_AUTO_TEST_CASE(doubled_and_late_attempts_run_once) {
+// Guards against running an attempt twice. A peer with the system's key sends
+// attempts that are duplicated, late, or addressed to another start of the
+// sidecar.
+BOOST_AUTO_TEST_CASE(duplicated_and_late_attempts_run_once) {
   world World;
   World.startUsual(1);
   sidecar_node &Sidecar = *World.Sidecars["led"];
@@ -138,7 +140,7 @@
   Link.connect(Sidecar.Address.text());
   wire::envelope Hello;
   Hello.mutable_hello();
-  World.until("news", [&] {
+  World.until("the sidecar has sent a report", [&] {
     Link.send(Hello);
     return Incarnation != 0;
   });
@@ -155,11 +157,11 @@
     A->set_budget_ms(5000);
     return Message;
   };
-  wire::envelope Doubled = Attempt(1, Incarnation);
+  wire::envelope Duplicated = Attempt(1, Incarnation);
   for (int I = 0; I < 5; ++I)
-    Link.send(Doubled);
-  World.until("an end", [&] { return Ends == 1; });
-  Link.send(Doubled);
+    Link.send(Duplicated);
+  World.until("the attempt has ended", [&] { return Ends == 1; });
+  Link.send(Duplicated);
   Link.send(Attempt(2, Incarnation + 1));
   wire::envelope Cancel;
   *Cancel.mutable_cancel()->mutable_id() = Attempt(3, 0).attempt().id();
@@ -167,14 +169,14 @@
   Cancel.mutable_cancel()->set_sidecar_incarnation(Incarnation);
   Link.send(Cancel);
   Link.send(Attempt(3, Incarnation));
-  World.until("refusals", [&] { return Refused >= 2; });
+  World.until("the attempts are refused", [&] { return Refused >= 2; });
   json Counts = World.engineCounts(Sidecar);
   BOOST_TEST(runsOf(Counts, "rough-1") == 1U);
   BOOST_TEST(runsOf(Counts, "rough-2") == 0U);
   BOOST_TEST(runsOf(Counts, "rough-3") == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(cannot_carry_one_request_inside_another) {
+BOOST_AUTO_TEST_CASE(cannot_smuggle_requests) {
   world World;
   World.startUsual(1);
   uint64_t Before = World.engineCounts(*World.Sidecars["led"])["started"];
@@ -190,21 +192,21 @@
   for (const std::string &Case : Cases)
     for (const std::string &Address : {World.Entries["entry-1"]->Address.text(),
                                        World.Control[0]->Operators.text()}) {
-      std::string Text = talkRaw(World, Address, Case);
+      std::string Text = exchangeRaw(World, Address, Case);
       BOOST_TEST(Text.starts_with("HTTP/1.1 400"), Text);
       BOOST_TEST(Text.find("HTTP/1.1", 5) == std::string::npos, Text);
     }
   BOOST_TEST(World.engineCounts(*World.Sidecars["led"])["started"] == Before);
 }
 
-BOOST_AUTO_TEST_CASE(that_say_nothing_give_way_to_callers) {
+BOOST_AUTO_TEST_CASE(that_send_nothing_are_closed_to_make_room_for_callers) {
   world World;
   World.EntrySettings = {{"max_open_requests", 10}};
   World.startUsual(1);
   const std::string Address = World.Entries["entry-1"]->Address.text();
   auto Running = World.begin(
       Address, {.Body = chatBody("plan", "tokens=400 gap=5", true)});
-  // More than the entry has connections for.
+  // More connections than the entry accepts.
   std::vector<std::unique_ptr<tcp_stream>> Idle;
   for (int I = 0; I < 400; ++I) {
     Idle.push_back(std::make_unique<tcp_stream>(World.Loop, Address));
@@ -212,7 +214,7 @@
     Idle.back()->OnEnd = [Raw = Idle.back().get()](bool) { Raw->close(); };
     Idle.back()->write(I % 2 ? "POST /v1/chat" : "");
   }
-  World.until("some were closed for room", [&] {
+  World.until("some idle connections are closed", [&] {
     return std::any_of(Idle.begin(), Idle.end(),
                        [](const auto &Each) { return !Each->open(); });
   });
--- a/tests/system/versions_test.cpp
+++ b/tests/system/versions_test.cpp
@@ -7,8 +7,8 @@
 
 BOOST_AUTO_TEST_SUITE(versions_and_overload)
 
-// A version that rolls out and is bad is stopped without an operator, and
-// sessions and traffic go back to the last good one.
+// Guards against a low-quality version staying in use: the guard stops its
+// roll-out without an operator, and requests go back to the last good version.
 BOOST_AUTO_TEST_CASE(a_bad_roll_out_is_stopped_by_the_guard) {
   world World;
   World.startUsual();
@@ -43,15 +43,20 @@
         return State()["state"] == "stopped";
       },
       40);
-  BOOST_TEST_MESSAGE("answers by the bad version: " << OnBad << " of " << Sent);
-  // Its budget, and what ratings earned before they told against it.
+  BOOST_TEST_MESSAGE("responses by the bad version: " << OnBad << " of "
+                                                      << Sent);
+  // Its exposure budget, and the requests that it got for its ratings before
+  // these showed that it is bad.
   BOOST_TEST(OnBad <= 60);
   caller_answer After = World.call(Entry, {.Body = chatBody("plan", "x")});
   BOOST_TEST(After.version() == "1");
 }
 
-// Sidecars hear of a withdrawal before an entry whose link to control is slow.
-BOOST_AUTO_TEST_CASE(a_version_that_sidecars_refuse_is_left_for_another) {
+// Guards against failing requests for a version that has just been withdrawn.
+// An entry that is cut off from control still sends them, and the sidecars,
+// which have received the withdrawal, refuse them; the entry uses another
+// version.
+BOOST_AUTO_TEST_CASE(a_version_that_sidecars_refuse_is_replaced_by_another) {
   world World;
   World.startUsual();
   World.putObject("model", "olive-llm", modelWith("active", "active"));
@@ -78,9 +83,11 @@
   BOOST_TEST(Versions["1"] == 20);
 }
 
-// Where the guard has ended a version it answers no more, sessions included;
-// elsewhere it does, and an operator overrules the guard.
-BOOST_AUTO_TEST_CASE(a_version_ended_for_one_template_serves_the_others) {
+// Guards against stopping a version more widely than the guard decided. A
+// version stopped for one template serves no more requests of that template,
+// also in sessions that were pinned to it, but serves the other templates. An
+// operator can override the guard.
+BOOST_AUTO_TEST_CASE(a_version_stopped_for_one_template_serves_the_others) {
   world World;
   World.startUsual(1);
   std::string Entry = World.Entries["entry-1"]->Address.text();
@@ -110,8 +117,9 @@
   BOOST_TEST(Used("plan", "") == "2");
 }
 
-// An entry does not know what the other has sent; the sidecar does, and a
-// request that would have to wait goes to the upstream that is free.
+// Guards against a request that waits at a busy upstream while another one is
+// free. An entry does not see the requests that the other entry has sent, but
+// the sidecar does and makes the entry choose the free upstream.
 BOOST_AUTO_TEST_CASE(a_request_does_not_wait_while_another_upstream_is_free) {
   world World;
   World.startUsual(1);
@@ -122,7 +130,8 @@
   auto Long =
       World.begin(World.Entries["entry-1"]->Address.text(),
                   {.Body = chatBody("plan", "gap=50 tokens=200", true)});
-  World.until("the long one runs", [&] { return !Long->upstream().empty(); });
+  World.until("the long request runs",
+              [&] { return !Long->upstream().empty(); });
   for (int I = 0; I < 10; ++I) {
     caller_answer Answer =
         World.call(World.Entries["entry-2"]->Address.text(),
@@ -130,13 +139,14 @@
     BOOST_TEST(Answer.Status == 200);
     BOOST_TEST(Answer.upstream() != Long->upstream());
   }
-  World.until("the long one ends", [&] { return Long->Done; });
+  World.until("the long request has ended", [&] { return Long->Done; });
   BOOST_TEST(Long->Status == 200);
 }
 
-// Every upstream fails until all breakers are open, then all are well again:
-// the next request is served, not refused until a breaker's pause is over.
-BOOST_AUTO_TEST_CASE(upstreams_that_are_all_well_again_are_used_at_once) {
+// Guards against refusing requests after all upstreams have recovered. Every
+// upstream fails until all circuit breakers are open; once all work again, the
+// next request is served, without waiting until a breaker's pause is over.
+BOOST_AUTO_TEST_CASE(upstreams_are_used_at_once_after_all_recover) {
   world World;
   World.startUsual(1);
   std::string Entry = World.Entries["entry-1"]->Address.text();
@@ -153,11 +163,12 @@
   Fail(0);
   caller_answer Answer = World.call(Entry, {.Body = chatBody("plan", "x")});
   BOOST_TEST(Answer.Status == 200);
-  BOOST_TEST_MESSAGE("when all were well again: " << Answer.Body);
+  BOOST_TEST_MESSAGE("after all upstreams have recovered: " << Answer.Body);
 }
 
-// A burst far above capacity: goodput during it, and after it all is as before.
-BOOST_AUTO_TEST_CASE(an_overload_does_not_stick) {
+// Guards against an overload that outlasts its cause. Under a burst far above
+// capacity requests are still served, and after it all of them are, as before.
+BOOST_AUTO_TEST_CASE(service_recovers_after_an_overload) {
   world World;
   World.startUsual(1);
   json Config = World.usualConfig();
@@ -169,7 +180,8 @@
     int Good = 0;
     int NotRun = 0;
     int Other = 0;
-    std::map<std::string, int> Refusals; ///< By the code in the answer.
+    /// Number of failed requests by error and response body.
+    std::map<std::string, int> Refusals;
   };
   auto Drive = [&](int Count, size_t AtOnce) {
     goodput Result;
@@ -221,7 +233,7 @@
   BOOST_TEST(Before.Good == 60);
   BOOST_TEST(During.Good > 100);
   BOOST_TEST(After.Good == 60);
-  // Every "not run" is held against what the engines started.
+  // No request that was reported as "not run" may have started at an engine.
   BOOST_TEST(Ran <= uint64_t(During.Good + During.Other));
 }
 
--- a/tests/system/warming_test.cpp
+++ b/tests/system/warming_test.cpp
@@ -1,7 +1,8 @@
 //===- warming_test.cpp - Upstreams that have just started ----------------===//
 //
-// A cold upstream gets no more requests within any second than it bears, from
-// all gateways together, however empty it looks.
+// Guards against overloading an upstream that has just started. Its low load
+// attracts requests, but until it is warm all gateways together may send it no
+// more requests per second than cold_requests_per_s allows.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,14 +14,17 @@
 
 namespace {
 
-constexpr double Bears = 6; ///< Requests a second while cold.
+/// Requests per second that a cold upstream may get (cold_requests_per_s).
+constexpr double ColdRequestsPerSecond = 6;
 constexpr double Ratio = 1.5;
 constexpr double Slack = 1;
-constexpr int Bound = int(Bears * Ratio + Slack);
-// A gateway that has just started sends none to cold upstreams for so long.
-constexpr double StartSeconds = 1.5;
-// Until a gateway has what the list shows.
-constexpr double TellSeconds = 2;
+/// Limit on the requests that a cold upstream gets within any second.
+constexpr int MaxColdInASecond = int(ColdRequestsPerSecond * Ratio + Slack);
+// Time after its start during which a gateway sends no requests to cold
+// upstreams.
+constexpr double GatewayStartSeconds = 1.5;
+// Time until a gateway has received a change of the list.
+constexpr double ListUpdateSeconds = 2;
 
 class cold_world : public gateway_world {
 public:
@@ -30,18 +34,19 @@
                   .DataHall = I % 2 == 1 ? "charguia" : "lac"});
     json Routing = usualRouting();
     Routing["services"][0]["cold_start_s"] = ColdStartSeconds;
-    Routing["services"][0]["cold_requests_per_s"] = Bears;
+    Routing["services"][0]["cold_requests_per_s"] = ColdRequestsPerSecond;
     startServing(Routing, {{"cold_ratio", Ratio}, {"cold_slack", Slack}});
-    run(StartSeconds);
+    run(GatewayStartSeconds);
   }
   void setCold(const std::string &Id) {
     List->setCold(Id, 30);
-    run(TellSeconds);
-    Before = Replicas[Id]->arrivals();
+    run(ListUpdateSeconds);
+    ArrivalsBefore = Replicas[Id]->arrivals();
   }
-  /// Sends so many at once again and again, and counts the answers by status.
-  std::map<int, int> press(int AtOnce, double Seconds,
-                           const std::string &Path = "/safe/x") {
+  /// Sends batches of AtOnce concurrent requests, one batch after another, for
+  /// the given number of seconds. Returns the number of responses by status.
+  std::map<int, int> sendBatches(int AtOnce, double Seconds,
+                                 const std::string &Path = "/safe/x") {
     std::map<int, int> Counts;
     double End = steadySeconds() + Seconds;
     while (steadySeconds() < End) {
@@ -49,52 +54,56 @@
       for (int I = 0; I < AtOnce; ++I)
         Answers.push_back(beginRequest(Path));
       for (const auto &Answer : Answers) {
-        until("an answer", [&] { return Answer->Done; });
+        until("the request is answered", [&] { return Answer->Done; });
         ++Counts[Answer->Status];
       }
       run(0.02);
     }
     return Counts;
   }
-  int Before = 0; ///< Arrivals at the last that turned cold.
+  /// Arrivals at the upstream that was set cold last, counted when the gateway
+  /// had received that change.
+  int ArrivalsBefore = 0;
 };
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(cold_upstreams)
 
-BOOST_AUTO_TEST_CASE(get_no_more_than_they_bear_and_all_is_served) {
+BOOST_AUTO_TEST_CASE(get_no_more_than_their_rate_and_all_requests_are_served) {
   cold_world World(3);
   replica &Cold = *World.Replicas["i-1"];
   World.setCold("i-1");
   double Since = steadySeconds();
-  auto Counts = World.press(10, 4);
+  auto Counts = World.sendBatches(10, 4);
   BOOST_TEST(Counts.size() == 1U);
   BOOST_TEST(Counts[200] > 100);
-  int Sent = Cold.arrivals() - World.Before;
-  BOOST_TEST(Sent <= int((steadySeconds() - Since + 1) * Bears));
+  int Sent = Cold.arrivals() - World.ArrivalsBefore;
+  BOOST_TEST(Sent <=
+             int((steadySeconds() - Since + 1) * ColdRequestsPerSecond));
   BOOST_TEST(Sent >= 2);
-  BOOST_TEST(Cold.mostInASecond(Since) <= Bound);
-  BOOST_TEST_CONTEXT("until the list says that they are warm") {
+  BOOST_TEST(Cold.mostInASecond(Since) <= MaxColdInASecond);
+  BOOST_TEST_CONTEXT(
+      "the limit ends when the list shows the upstream as warm") {
     World.List->setCold("i-1", 0);
-    World.run(TellSeconds);
-    World.Before = Cold.arrivals();
-    World.press(10, 1);
-    BOOST_TEST(Cold.arrivals() - World.Before > Bound);
+    World.run(ListUpdateSeconds);
+    World.ArrivalsBefore = Cold.arrivals();
+    World.sendBatches(10, 1);
+    BOOST_TEST(Cold.arrivals() - World.ArrivalsBefore > MaxColdInASecond);
   }
 }
 
-BOOST_AUTO_TEST_CASE(are_all_there_are_and_callers_hear_when_to_come_back) {
+BOOST_AUTO_TEST_CASE(refuse_callers_with_retry_after_if_all_are_cold) {
   cold_world World(1);
   World.setCold("i-1");
   double Since = steadySeconds();
-  auto Counts = World.press(10, 3);
+  auto Counts = World.sendBatches(10, 3);
   BOOST_TEST(Counts[200] >= 3);
   BOOST_TEST(Counts[503] > 100);
   BOOST_TEST(Counts.size() == 2U);
-  BOOST_TEST(World.Replicas["i-1"]->mostInASecond(Since) <= Bound);
+  BOOST_TEST(World.Replicas["i-1"]->mostInASecond(Since) <= MaxColdInASecond);
   caller_answer Refused;
-  World.until("one is refused", [&] {
+  World.until("a request is refused", [&] {
     Refused = World.request("/unsafe/x");
     return Refused.Status == 503;
   });
@@ -103,7 +112,7 @@
   BOOST_TEST(World.Replicas["i-1"]->runs(World.LastId) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(are_supposed_to_be_cold_after_an_evacuation) {
+BOOST_AUTO_TEST_CASE(are_assumed_cold_after_an_evacuation) {
   cold_world World(2, 3);
   auto Order = [&](const char *Verb) {
     BOOST_REQUIRE_EQUAL(
@@ -113,34 +122,35 @@
         200);
   };
   Order("evacuate");
-  World.run(TellSeconds);
+  World.run(ListUpdateSeconds);
   double Since = steadySeconds();
   Order("restore");
-  World.press(10, 3);
-  BOOST_TEST(World.Replicas["i-2"]->mostInASecond(Since) <= Bound);
+  World.sendBatches(10, 3);
+  BOOST_TEST(World.Replicas["i-2"]->mostInASecond(Since) <= MaxColdInASecond);
   BOOST_TEST(World.Replicas["i-2"]->mostInASecond(Since) > 0);
 }
 
-BOOST_AUTO_TEST_CASE(get_none_from_a_gateway_that_has_just_started) {
+BOOST_AUTO_TEST_CASE(get_no_requests_from_a_gateway_that_has_just_started) {
   cold_world World(2);
   World.setCold("i-1");
   World.Gateway->kill();
   World.Gateway->start();
-  World.until("it serves",
+  World.until("the gateway serves",
               [&] { return World.request("/safe/x").Status == 200; });
-  World.Before = World.Replicas["i-1"]->arrivals();
-  World.press(5, 0.3);
-  BOOST_TEST(World.Replicas["i-1"]->arrivals() == World.Before);
+  World.ArrivalsBefore = World.Replicas["i-1"]->arrivals();
+  World.sendBatches(5, 0.3);
+  BOOST_TEST(World.Replicas["i-1"]->arrivals() == World.ArrivalsBefore);
 }
 
-BOOST_AUTO_TEST_CASE(without_a_limit_are_used_like_any_other) {
+BOOST_AUTO_TEST_CASE(without_a_rate_limit_are_not_throttled) {
   cold_world World(2);
   json Routing = World.usualRouting();
   Routing["services"][0]["cold_requests_per_s"] = 0;
   BOOST_REQUIRE_EQUAL(World.putRouting(Routing).Status, 200);
   World.setCold("i-1");
-  World.press(10, 1);
-  BOOST_TEST(World.Replicas["i-1"]->arrivals() - World.Before > Bound);
+  World.sendBatches(10, 1);
+  BOOST_TEST(World.Replicas["i-1"]->arrivals() - World.ArrivalsBefore >
+             MaxColdInASecond);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/temporary_folder.h
+++ b/tests/temporary_folder.h
@@ -1,4 +1,4 @@
-//===- temporary_folder.h - A folder that goes away -------------*- C++ -*-===//
+//===- temporary_folder.h - A folder with the object's lifetime -*- C++ -*-===//
 
 #ifndef OLIVEVALVE_TESTS_TEMPORARY_FOLDER_H
 #define OLIVEVALVE_TESTS_TEMPORARY_FOLDER_H
@@ -9,6 +9,7 @@
 
 namespace olivevalve {
 
+/// Creates a folder and removes it with its contents when destroyed.
 class temporary_folder {
 public:
   temporary_folder() {
@@ -23,6 +24,7 @@
   }
   temporary_folder(const temporary_folder &) = delete;
   temporary_folder &operator=(const temporary_folder &) = delete;
+  /// Empty if the folder could not be created.
   const std::string &path() const { return Path; }
 
 private:
--- a/tests/unit/control_test.cpp
+++ b/tests/unit/control_test.cpp
@@ -28,11 +28,11 @@
 
 BOOST_AUTO_TEST_SUITE(gateways_at_control)
 
-BOOST_AUTO_TEST_CASE(tallies_of_all_starts_add_up_however_often_they_are_told) {
+BOOST_AUTO_TEST_CASE(tallies_of_all_incarnations_add_up_without_duplicates) {
   gateway_table Table;
   Table.recordWatch("a", watchOf(1, 10, 1, "v1"), 0);
   Table.recordWatch("a", watchOf(1, 20, 2, "v1"), 1);
-  Table.recordWatch("a", watchOf(2, 5, 0, "v1"), 2); // Started anew.
+  Table.recordWatch("a", watchOf(2, 5, 0, "v1"), 2); // Restarted.
   Table.recordWatch("b", watchOf(3, 7, 7, "v2"), 2);
   BOOST_TEST(Table.answersOf("llm", "v1").Answers == 25U);
   BOOST_TEST(Table.answersOf("llm", "v1").Failures == 2U);
@@ -40,16 +40,17 @@
   BOOST_TEST(Table.answersOf("ledger", "v1").Answers == 0U);
 }
 
-// A new leader told the first gateway that asked that it was alone, the second
-// that they were two: each took a part of what all share that others had too,
-// and kept it if that leader was lost.
-BOOST_AUTO_TEST_CASE(are_counted_once_all_can_have_asked_a_new_leader) {
-  constexpr double SecondsPerQuestion = 0.1;
+// Guards against a new leader that counts only the gateways that have polled it
+// so far. It would report 1 to the first gateway and 2 to the second, their
+// shares of a common limit would overlap, and they would keep them if that
+// leader was lost.
+BOOST_AUTO_TEST_CASE(are_not_counted_before_all_can_have_polled_a_new_leader) {
+  constexpr double PollIntervalSeconds = 0.1;
   gateway_table Table;
   double Now = 100;
   Table.beginLeadership(Now);
-  double Shares = 0; // Of what all share, by the numbers that they were told.
-  for (uint64_t Id = 1; Id <= 10; ++Id, Now += SecondsPerQuestion) {
+  double Shares = 0; // Sum of the shares, by the reported counts.
+  for (uint64_t Id = 1; Id <= 10; ++Id, Now += PollIntervalSeconds) {
     std::string Peer = "gateway/" + std::to_string(Id);
     Table.recordWatch(Peer, watchOf(Id, 0, 0, "v1"), Now);
     auto Count = Table.count(Now);
@@ -61,11 +62,12 @@
   BOOST_TEST(*Count == 10U);
 }
 
-// A gateway that had started anew was counted beside what it was for 10 s: all
-// were told more than they are, and heard fewer than they were told.
-BOOST_AUTO_TEST_CASE(that_start_anew_are_counted_once) {
+// Guards against a restarted gateway that is counted together with its previous
+// incarnation for 10 s. All gateways would receive too high a count, and load
+// updates from fewer gateways than that.
+BOOST_AUTO_TEST_CASE(that_restart_are_counted_once) {
   gateway_table Table;
-  auto Asks = [&](const std::string &Node, uint64_t Incarnation, double Now) {
+  auto Poll = [&](const std::string &Node, uint64_t Incarnation, double Now) {
     wire::watch Watch = watchOf(Incarnation, 5, 0, "v1");
     Watch.set_node(Node);
     Watch.set_news_address(Node + ":1");
@@ -75,53 +77,53 @@
     Table.fillAddresses(Peer, Notice);
     return Notice.news_addresses_size();
   };
-  Asks("edge-1", 1, 10);
-  Asks("edge-2", 2, 10);
-  int Addresses = Asks("edge-1", 3, 11);
+  Poll("edge-1", 1, 10);
+  Poll("edge-2", 2, 10);
+  int Addresses = Poll("edge-1", 3, 11);
   BOOST_TEST(Addresses == 2);
   BOOST_TEST(*Table.count(11) == 2U);
   BOOST_TEST(Table.answersOf("llm", "v1").Answers == 15U);
 }
 
-BOOST_AUTO_TEST_CASE(staying_sessions_reach_each_gateway_once) {
+BOOST_AUTO_TEST_CASE(staying_sessions_are_sent_to_each_gateway_once) {
   gateway_table Table;
   wire::watch Watch = watchOf(1, 0, 0, "v1");
   Watch.add_staying(7);
   Table.recordWatch("a", Watch, 1);
   Table.recordWatch("b", watchOf(2, 0, 0, "v1"), 1);
-  auto Told = [&](const char *Peer, double Now) {
+  auto Sent = [&](const char *Peer, double Now) {
     wire::notice Notice;
     Table.fillStaying(Peer, Now, Notice);
     return Notice.staying_size();
   };
-  BOOST_TEST(Told("b", 1.1) == 1);
-  BOOST_TEST(Told("b", 1.2) == 0);
+  BOOST_TEST(Sent("b", 1.1) == 1);
+  BOOST_TEST(Sent("b", 1.2) == 0);
   Table.forgetSilent(30);
   BOOST_TEST(Table.gateways().empty());
-  BOOST_TEST(Told("c", 30) == 0);
+  BOOST_TEST(Sent("c", 30) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(a_roll_out_is_judged_by_what_was_counted_since_its_order) {
+BOOST_AUTO_TEST_CASE(a_roll_out_is_judged_by_answers_since_its_order) {
   gateway_table Gateways;
   Gateways.recordWatch("a", watchOf(1, 100, 90, "v1"), 0);
-  rollout_store Book;
+  rollout_store Store;
   wire::rollout Order;
   Order.set_service("llm");
   Order.set_target_version("v2");
   Order.set_duration_seconds(20);
-  BOOST_TEST(Book.begin(Order, 1000).ok());
+  BOOST_TEST(Store.begin(Order, 1000).ok());
   rollout_driver Driver;
-  BOOST_TEST(Driver.steps(Book, Gateways, 50, 1000).empty());
+  BOOST_TEST(Driver.steps(Store, Gateways, 50, 1000).empty());
   Gateways.recordWatch("a", watchOf(1, 200, 91, "v1"), 51);
   Gateways.recordWatch("b", watchOf(2, 20, 10, "v2"), 51);
-  auto Steps = Driver.steps(Book, Gateways, 52, 1002);
+  auto Steps = Driver.steps(Store, Gateways, 52, 1002);
   BOOST_REQUIRE(Steps.size() == 1U);
   BOOST_TEST(Steps[0].to() == wire::REVERTED);
-  // A new leader learns from the order's time how far it is.
+  // A new leader derives the progress of the roll-out from the order's time.
   rollout_driver Next;
   Gateways.recordWatch("b", watchOf(2, 40, 0, "v2"), 500);
-  BOOST_TEST(Next.steps(Book, Gateways, 500, 1005).empty());
-  Steps = Next.steps(Book, Gateways, 515, 1020);
+  BOOST_TEST(Next.steps(Store, Gateways, 500, 1005).empty());
+  Steps = Next.steps(Store, Gateways, 515, 1020);
   BOOST_REQUIRE(Steps.size() == 1U);
   BOOST_TEST(Steps[0].to() == wire::SHIFT);
 }
@@ -138,21 +140,21 @@
       .Id = Id, .Service = "llm", .Address = "10.0.0.1:80", .Leaving = Leaving};
 }
 
-/// What a holder has after it took in what it was told.
-using held_list = std::map<std::string, bool>; ///< Leaving, by id.
+/// The list that a gateway holds: whether an upstream is leaving, by its id.
+using held_upstreams = std::map<std::string, bool>;
 
-void takeIn(held_list &Held, const wire::upstream_list &Told) {
-  if (Told.whole())
+void applyUpdate(held_upstreams &Held, const wire::upstream_list &Sent) {
+  if (Sent.whole())
     Held.clear();
-  for (const std::string &Id : Told.gone())
+  for (const std::string &Id : Sent.gone())
     Held.erase(Id);
-  for (const wire::listed_upstream &Each : Told.upstreams())
+  for (const wire::listed_upstream &Each : Sent.upstreams())
     Held[Each.id()] = Each.leaving();
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(is_told_whole_first_and_by_changes_then) {
+BOOST_AUTO_TEST_CASE(is_sent_complete_first_and_as_changes_later) {
   upstream_history History;
   BOOST_TEST(History.revision() == 0U);
   BOOST_TEST(History.setList({upstreamOf("a"), upstreamOf("b")}));
@@ -170,23 +172,23 @@
   BOOST_TEST(Next.gone(0) == "b");
 }
 
-BOOST_AUTO_TEST_CASE(brings_every_holder_to_the_same_state) {
+BOOST_AUTO_TEST_CASE(brings_every_gateway_to_the_same_state) {
   upstream_history History;
   std::mt19937_64 Random(5);
-  std::vector<std::pair<uint64_t, held_list>> Holders;
+  std::vector<std::pair<uint64_t, held_upstreams>> Holders;
   for (int Round = 0; Round < 120; ++Round) {
     std::vector<platform::listed_upstream> Listed;
     for (char Id = 'a'; Id < 'k'; ++Id)
       if (Random() % 3 != 0)
         Listed.push_back(upstreamOf(std::string(1, Id), Random() % 4 == 0));
     History.setList(Listed);
-    held_list Now;
-    takeIn(Now, History.changesSince(0));
+    held_upstreams Now;
+    applyUpdate(Now, History.changesSince(0));
     BOOST_TEST(Now.size() == Listed.size());
-    // Some have missed a few changes, some more than are kept.
+    // Some gateways have missed a few changes, some more than control keeps.
     for (auto &[Revision, Held] : Holders)
       if (Random() % 20 == 0 || Round == 119) {
-        takeIn(Held, History.changesSince(Revision));
+        applyUpdate(Held, History.changesSince(Revision));
         Revision = History.revision();
         BOOST_TEST((Held == Now));
       }
@@ -194,7 +196,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(is_told_whole_to_a_holder_of_another_list) {
+BOOST_AUTO_TEST_CASE(is_sent_complete_to_a_gateway_with_another_list) {
   upstream_history Old;
   upstream_history New;
   Old.setList({upstreamOf("a")});
@@ -207,7 +209,7 @@
   BOOST_TEST(!New.changesSince(Before).whole());
 }
 
-BOOST_AUTO_TEST_CASE(is_not_told_again_by_a_new_leader) {
+BOOST_AUTO_TEST_CASE(is_not_sent_again_by_a_new_leader) {
   std::vector<platform::listed_upstream> Listed;
   for (int I = 0; I < 3000; ++I)
     Listed.push_back(upstreamOf("i-" + std::to_string(I)));
@@ -216,25 +218,26 @@
   upstream_copy Copy;
   BOOST_TEST(Copy.apply(Old.changesSince(0)));
   BOOST_TEST(Copy.revision() == Old.revision());
-  // Another control VM reads the same list, in another order.
+  // Another control VM reads the same list in a different order and computes
+  // the same revision.
   upstream_history New;
   std::shuffle(Listed.begin(), Listed.end(), std::mt19937_64(2));
   New.setList(Listed);
   BOOST_TEST(New.revision() == Copy.revision());
-  // And so does a gateway that asked the platform itself.
+  // So does a gateway that reads the list from the platform itself.
   upstream_copy Own;
   Own.set(Listed);
   BOOST_TEST(Own.revision() == New.revision());
   Listed.front().Leaving = true;
   New.setList(Listed);
-  wire::upstream_list Told = New.changesSince(Copy.revision());
-  BOOST_TEST(!Told.whole());
-  BOOST_TEST(Told.upstreams_size() == 1);
-  BOOST_TEST(Copy.apply(Told));
+  wire::upstream_list Sent = New.changesSince(Copy.revision());
+  BOOST_TEST(!Sent.whole());
+  BOOST_TEST(Sent.upstreams_size() == 1);
+  BOOST_TEST(Copy.apply(Sent));
   BOOST_TEST(Copy.revision() == New.revision());
 }
 
-BOOST_AUTO_TEST_CASE(is_told_in_40_bytes_an_entry) {
+BOOST_AUTO_TEST_CASE(takes_less_than_40_bytes_per_entry) {
   std::vector<platform::listed_upstream> Listed;
   std::mt19937_64 Random(3);
   for (int I = 0; I < 3000; ++I)
@@ -248,36 +251,37 @@
                       .StartedMs = 1777922648118 + Random() % 100000});
   upstream_history History;
   History.setList(Listed);
-  wire::upstream_list Told = History.changesSince(0);
-  // 70 when each entry named all in text.
-  BOOST_TEST(Told.ByteSizeLong() < 40 * Listed.size());
+  wire::upstream_list Sent = History.changesSince(0);
+  // With all names in text it would be 70 bytes per entry.
+  BOOST_TEST(Sent.ByteSizeLong() < 40 * Listed.size());
   upstream_copy Copy;
-  BOOST_TEST(Copy.apply(Told));
+  BOOST_TEST(Copy.apply(Sent));
   BOOST_TEST(Copy.revision() == History.revision());
 }
 
-// Whatever bytes come, nothing is half taken in.
-BOOST_AUTO_TEST_CASE(is_taken_in_whole_or_not_at_all) {
+// Guards against a corrupted list that is applied in part: a list is applied
+// completely or changes nothing.
+BOOST_AUTO_TEST_CASE(is_applied_completely_or_not_at_all) {
   upstream_history History;
   History.setList({upstreamOf("a"), upstreamOf("b"), upstreamOf("c")});
   std::string Bytes = History.changesSince(0).SerializeAsString();
   std::mt19937_64 Random(4);
   for (int Round = 0; Round < 20000; ++Round) {
-    std::string Bent = Bytes;
+    std::string Corrupted = Bytes;
     for (uint64_t I = 0, Count = 1 + Random() % 4; I < Count; ++I)
-      Bent[Random() % Bent.size()] = char(Random());
-    wire::upstream_list Told;
-    if (!Told.ParseFromString(Bent))
+      Corrupted[Random() % Corrupted.size()] = char(Random());
+    wire::upstream_list Sent;
+    if (!Sent.ParseFromString(Corrupted))
       continue;
     upstream_copy Copy;
     Copy.set({upstreamOf("z")});
     uint64_t Held = Copy.revision();
-    if (!Copy.apply(Told))
+    if (!Copy.apply(Sent))
       BOOST_TEST(Copy.revision() == Held);
   }
 }
 
-BOOST_AUTO_TEST_CASE(takes_no_change_of_another_list) {
+BOOST_AUTO_TEST_CASE(rejects_changes_to_another_list) {
   upstream_history History;
   History.setList({upstreamOf("a")});
   uint64_t First = History.revision();
--- a/tests/unit/crash_evidence_test.cpp
+++ b/tests/unit/crash_evidence_test.cpp
@@ -1,4 +1,4 @@
-//===- crash_evidence_test.cpp - What is held against a request -----------===//
+//===- crash_evidence_test.cpp - Crash evidence and quarantine ------------===//
 
 #include "base/clock.h"
 #include "boost/test/unit_test.hpp"
@@ -13,45 +13,46 @@
 
 namespace {
 
-constexpr short_digest Guilty = {1, 1};
-constexpr short_digest Popular = {2, 2};
+constexpr short_digest CrashingRequest = {1, 1};
+constexpr short_digest HarmlessRequest = {2, 2};
 constexpr double Hour = 3600;
 
-short_digest stranger(uint64_t Number) { return {1000 + Number, 7}; }
+short_digest unrelatedRequest(uint64_t Number) { return {1000 + Number, 7}; }
 
-wire::crash_news newsOf(const std::vector<crash_report> &Reports) {
-  wire::crash_news News;
+wire::crash_news crashReport(const std::vector<crash_report> &Reports) {
+  wire::crash_news Message;
   for (const crash_report &Each : Reports) {
-    wire::crash_report *Out = News.add_crashes();
+    wire::crash_report *Out = Message.add_crashes();
     fillName(Each.Request, *Out->mutable_request());
     Out->set_upstream(Each.Upstream);
   }
-  return News;
+  return Message;
 }
 
-wire::crash_news newsOfAnswer(const short_digest &Request) {
-  wire::crash_news News;
-  fillName(Request, *News.add_answered());
-  return News;
+wire::crash_news answerReport(const short_digest &Request) {
+  wire::crash_news Message;
+  fillName(Request, *Message.add_answered());
+  return Message;
 }
 
-/// Control as the gateways see it: what the keeper proposes is agreed on.
-class agreed_quarantine {
+/// Stands in for control's replicated state: commits each change that the
+/// quarantine manager proposes.
+class replicated_quarantine {
 public:
-  size_t agree(quarantine_manager &Keeper, double Now) {
-    auto Changes = Keeper.changes(Book, Now);
+  size_t commitChanges(quarantine_manager &Manager, double Now) {
+    auto Changes = Manager.changes(Store, Now);
     for (const wire::quarantine_change &Each : Changes)
-      Book.apply(Each, Now);
+      Store.apply(Each, Now);
     return Changes.size();
   }
-  quarantine_store Book;
+  quarantine_store Store;
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(requests_that_upstreams_end_under)
+BOOST_AUTO_TEST_SUITE(crash_attribution)
 
-BOOST_AUTO_TEST_CASE(are_told_apart_by_all_that_comes_again) {
+BOOST_AUTO_TEST_CASE(identity_covers_every_part_that_a_retry_repeats) {
   const request_parts Parts = {.Account = "dispatch",
                                .Method = "POST",
                                .Host = "a.example",
@@ -68,7 +69,8 @@
   BOOST_TEST(!With([](auto &P) { P.Host = "b.example"; }));
   BOOST_TEST(!With([](auto &P) { P.Target = "/x/2"; }));
   BOOST_TEST(!With([](auto &P) { P.Body = "bodz"; }));
-  BOOST_TEST_CONTEXT("also where one field could end in the next") {
+  BOOST_TEST_CONTEXT(
+      "bytes moved from one field to the next change the identity") {
     BOOST_TEST(!With([](auto &P) {
       P.Target = "/x/1b";
       P.Body = "ody";
@@ -76,10 +78,10 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(are_convicted_by_three_upstreams_in_any_order) {
+BOOST_AUTO_TEST_CASE(crashes_of_three_upstreams_quarantine_in_any_order) {
   std::vector<crash_report> Reports;
   for (uint64_t Upstream : {10, 11, 12, 10, 11, 10})
-    Reports.push_back({.Request = Guilty, .Upstream = Upstream});
+    Reports.push_back({.Request = CrashingRequest, .Upstream = Upstream});
   std::mt19937_64 Random(1);
   for (int Turn = 0; Turn < 50; ++Turn) {
     std::shuffle(Reports.begin(), Reports.end(), Random);
@@ -88,176 +90,190 @@
     for (const crash_report &Each : Reports) {
       Evidence.addCrash(Each, 1);
       Seen.insert(Each.Upstream);
-      BOOST_TEST(Evidence.shouldQuarantine(Guilty, 1) == (Seen.size() == 3));
+      BOOST_TEST(Evidence.shouldQuarantine(CrashingRequest, 1) ==
+                 (Seen.size() == 3));
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(are_acquitted_by_one_whole_answer) {
+BOOST_AUTO_TEST_CASE(one_complete_answer_prevents_quarantine) {
   crash_evidence Evidence;
-  BOOST_TEST_CONTEXT("that came before the upstreams ended") {
-    Evidence.recordResponse(Popular, 0);
+  BOOST_TEST_CONTEXT("an answer before the crashes") {
+    Evidence.recordResponse(HarmlessRequest, 0);
     for (uint64_t Upstream = 1; Upstream <= 9; ++Upstream)
-      BOOST_TEST(!Evidence.addCrash({Popular, Upstream}, 1));
-    BOOST_TEST(!Evidence.shouldQuarantine(Popular, 1));
+      BOOST_TEST(!Evidence.addCrash({HarmlessRequest, Upstream}, 1));
+    BOOST_TEST(!Evidence.shouldQuarantine(HarmlessRequest, 1));
   }
-  BOOST_TEST_CONTEXT("that came in between") {
+  BOOST_TEST_CONTEXT("an answer between the crashes") {
     for (uint64_t Upstream = 1; Upstream <= 2; ++Upstream)
-      Evidence.addCrash({Popular, Upstream}, 100);
-    BOOST_TEST(Evidence.recordResponse(Popular, 101));
-    Evidence.addCrash({Popular, 3}, 102);
-    BOOST_TEST(!Evidence.shouldQuarantine(Popular, 102));
+      Evidence.addCrash({HarmlessRequest, Upstream}, 100);
+    BOOST_TEST(Evidence.recordResponse(HarmlessRequest, 101));
+    Evidence.addCrash({HarmlessRequest, 3}, 102);
+    BOOST_TEST(!Evidence.shouldQuarantine(HarmlessRequest, 102));
   }
-  BOOST_TEST_CONTEXT("but not for ever") {
+  BOOST_TEST_CONTEXT("an old answer no longer counts") {
     for (uint64_t Upstream = 4; Upstream <= 6; ++Upstream)
-      Evidence.addCrash({Popular, Upstream}, 500);
-    BOOST_TEST(Evidence.shouldQuarantine(Popular, 500));
+      Evidence.addCrash({HarmlessRequest, Upstream}, 500);
+    BOOST_TEST(Evidence.shouldQuarantine(HarmlessRequest, 500));
   }
 }
 
-BOOST_AUTO_TEST_CASE(are_not_held_to_ends_long_past) {
+BOOST_AUTO_TEST_CASE(crashes_long_ago_do_not_count) {
   crash_evidence Evidence;
-  Evidence.addCrash({Guilty, 1}, 0);
-  Evidence.addCrash({Guilty, 2}, 1);
-  Evidence.addCrash({Guilty, 3}, Hour);
-  BOOST_TEST(!Evidence.shouldQuarantine(Guilty, Hour));
-  BOOST_TEST(Evidence.crashedUpstreams(Guilty, Hour).size() == 1U);
+  Evidence.addCrash({CrashingRequest, 1}, 0);
+  Evidence.addCrash({CrashingRequest, 2}, 1);
+  Evidence.addCrash({CrashingRequest, 3}, Hour);
+  BOOST_TEST(!Evidence.shouldQuarantine(CrashingRequest, Hour));
+  BOOST_TEST(Evidence.crashedUpstreams(CrashingRequest, Hour).size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(are_not_pushed_out_by_a_flood_of_strangers) {
+BOOST_AUTO_TEST_CASE(evidence_survives_a_flood_of_other_requests) {
   crash_evidence Evidence({.MaxRequests = 100});
-  Evidence.addCrash({Guilty, 1}, 0);
-  Evidence.addCrash({Guilty, 2}, 0);
+  Evidence.addCrash({CrashingRequest, 1}, 0);
+  Evidence.addCrash({CrashingRequest, 2}, 0);
   for (uint64_t I = 0; I < 10000; ++I) {
-    Evidence.addCrash({stranger(I), 3}, 1 + double(I) * 1e-3);
+    Evidence.addCrash({unrelatedRequest(I), 3}, 1 + double(I) * 1e-3);
     BOOST_REQUIRE(Evidence.size() <= 100);
   }
-  Evidence.addCrash({Guilty, 3}, 20);
-  BOOST_TEST(Evidence.shouldQuarantine(Guilty, 20));
+  Evidence.addCrash({CrashingRequest, 3}, 20);
+  BOOST_TEST(Evidence.shouldQuarantine(CrashingRequest, 20));
   BOOST_TEST(Evidence.requestsToQuarantine(20).size() == 1U);
 }
 
-// A third of 860 upstreams end at once before 410 gateways with 5,000 requests
-// a second, each 2 s long.
-BOOST_AUTO_TEST_CASE(are_found_when_a_third_of_the_fleet_ends_at_once) {
+// Guards against a mass crash that quarantines requests which only happened to
+// be in flight, or whose reports outgrow a message. The case is a third of 860
+// upstreams crashing at once, with 410 gateways and 5,000 requests per second
+// of 2 s each.
+BOOST_AUTO_TEST_CASE(only_the_cause_is_quarantined_after_a_mass_crash) {
   constexpr uint64_t GatewayCount = 410;
-  constexpr uint64_t UnderEach = 8;
-  quarantine_manager Keeper;
-  agreed_quarantine Control;
+  constexpr uint64_t RequestsPerGateway = 8;
+  quarantine_manager Manager;
+  replicated_quarantine Control;
   for (uint64_t Gateway = 0; Gateway < GatewayCount; ++Gateway) {
     std::vector<crash_report> Reports;
-    for (uint64_t I = 0; I < UnderEach; ++I)
-      Reports.push_back({stranger(Gateway * UnderEach + I), I});
+    for (uint64_t I = 0; I < RequestsPerGateway; ++I)
+      Reports.push_back(
+          {unrelatedRequest(Gateway * RequestsPerGateway + I), I});
     if (Gateway % 137 == 0)
-      Reports.push_back({Guilty, 100 + Gateway});
-    wire::crash_news News = newsOf(Reports);
-    BOOST_TEST(News.ByteSizeLong() <= 400U);
-    Keeper.addReports(News, 1);
+      Reports.push_back({CrashingRequest, 100 + Gateway});
+    wire::crash_news Message = crashReport(Reports);
+    BOOST_TEST(Message.ByteSizeLong() <= 400U);
+    Manager.addReports(Message, 1);
   }
-  BOOST_TEST(Control.agree(Keeper, 1) == 1U);
-  BOOST_TEST(Control.Book.contains(Guilty));
+  BOOST_TEST(Control.commitChanges(Manager, 1) == 1U);
+  BOOST_TEST(Control.Store.contains(CrashingRequest));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
 BOOST_AUTO_TEST_SUITE(quarantine)
 
-BOOST_AUTO_TEST_CASE(joins_what_different_gateways_saw) {
-  quarantine_manager Keeper;
-  agreed_quarantine Control;
+BOOST_AUTO_TEST_CASE(combines_reports_of_different_gateways) {
+  quarantine_manager Manager;
+  replicated_quarantine Control;
   for (uint64_t Gateway = 1; Gateway <= 3; ++Gateway) {
-    BOOST_TEST(Control.agree(Keeper, double(Gateway)) == 0U);
+    BOOST_TEST(Control.commitChanges(Manager, double(Gateway)) == 0U);
     for (int Told = 0; Told < 3; ++Told)
-      Keeper.addReports(newsOf({{Guilty, Gateway}}), double(Gateway));
+      Manager.addReports(crashReport({{CrashingRequest, Gateway}}), double(Gateway));
   }
-  BOOST_TEST(Control.agree(Keeper, 4) == 1U);
-  BOOST_TEST(Control.Book.contains(Guilty));
-  BOOST_TEST(Control.Book.all().front().upstreams_size() == 3);
-  BOOST_TEST_CONTEXT("and is proposed once") {
-    BOOST_TEST(Control.agree(Keeper, 4.1) == 0U);
+  BOOST_TEST(Control.commitChanges(Manager, 4) == 1U);
+  BOOST_TEST(Control.Store.contains(CrashingRequest));
+  BOOST_TEST(Control.Store.all().front().upstreams_size() == 3);
+  BOOST_TEST_CONTEXT("the change is proposed once") {
+    BOOST_TEST(Control.commitChanges(Manager, 4.1) == 0U);
   }
 }
 
-BOOST_AUTO_TEST_CASE(is_left_by_what_some_gateway_answered) {
-  quarantine_manager Keeper;
-  agreed_quarantine Control;
-  Keeper.addReports(newsOf({{Popular, 1}, {Popular, 2}, {Popular, 3}}), 1);
-  Control.agree(Keeper, 1);
-  BOOST_TEST(Control.Book.contains(Popular));
-  Keeper.addReports(newsOfAnswer(Popular), 5);
-  Control.agree(Keeper, 5);
-  BOOST_TEST(!Control.Book.contains(Popular));
-  BOOST_TEST_CONTEXT("and not entered again by reports told late") {
-    Keeper.addReports(newsOf({{Popular, 1}, {Popular, 2}, {Popular, 3}}), 6);
-    Control.agree(Keeper, 8);
-    BOOST_TEST(!Control.Book.contains(Popular));
+BOOST_AUTO_TEST_CASE(releases_a_request_that_a_gateway_completed) {
+  quarantine_manager Manager;
+  replicated_quarantine Control;
+  Manager.addReports(
+      crashReport(
+          {{HarmlessRequest, 1}, {HarmlessRequest, 2}, {HarmlessRequest, 3}}),
+      1);
+  Control.commitChanges(Manager, 1);
+  BOOST_TEST(Control.Store.contains(HarmlessRequest));
+  Manager.addReports(answerReport(HarmlessRequest), 5);
+  Control.commitChanges(Manager, 5);
+  BOOST_TEST(!Control.Store.contains(HarmlessRequest));
+  BOOST_TEST_CONTEXT("late reports do not quarantine it again") {
+    Manager.addReports(
+        crashReport(
+            {{HarmlessRequest, 1}, {HarmlessRequest, 2}, {HarmlessRequest, 3}}),
+        6);
+    Control.commitChanges(Manager, 8);
+    BOOST_TEST(!Control.Store.contains(HarmlessRequest));
   }
 }
 
-BOOST_AUTO_TEST_CASE(is_left_by_an_operators_word_and_by_time) {
-  quarantine_manager Keeper;
-  agreed_quarantine Control;
-  auto Convict = [&](double Now) {
-    Keeper.addReports(newsOf({{Guilty, 1}, {Guilty, 2}, {Guilty, 3}}), Now);
-    Control.agree(Keeper, Now);
+BOOST_AUTO_TEST_CASE(releases_by_operator_and_after_its_duration) {
+  quarantine_manager Manager;
+  replicated_quarantine Control;
+  auto ReportThreeCrashes = [&](double Now) {
+    Manager.addReports(
+        crashReport(
+            {{CrashingRequest, 1}, {CrashingRequest, 2}, {CrashingRequest, 3}}),
+        Now);
+    Control.commitChanges(Manager, Now);
   };
-  Convict(1);
-  Control.agree(Keeper, 2);
-  BOOST_TEST(Keeper.secondsLeft(Guilty, 2) > Hour - 10);
+  ReportThreeCrashes(1);
+  Control.commitChanges(Manager, 2);
+  BOOST_TEST(Manager.secondsLeft(CrashingRequest, 2) > Hour - 10);
   wire::quarantine_change Release;
-  fillName(Guilty, *Release.mutable_release());
-  BOOST_TEST(Control.Book.apply(Release, 10));
-  BOOST_TEST(!Control.Book.apply(Release, 10));
-  Convict(11);
-  BOOST_TEST(!Control.Book.contains(Guilty));
-  BOOST_TEST_CONTEXT("and is judged anew after it") {
-    Convict(100);
-    BOOST_TEST(Control.Book.contains(Guilty));
-    Control.agree(Keeper, 101);
-    Control.agree(Keeper, 100 + Hour + 10);
-    BOOST_TEST(!Control.Book.contains(Guilty));
+  fillName(CrashingRequest, *Release.mutable_release());
+  BOOST_TEST(Control.Store.apply(Release, 10));
+  BOOST_TEST(!Control.Store.apply(Release, 10));
+  ReportThreeCrashes(11);
+  BOOST_TEST(!Control.Store.contains(CrashingRequest));
+  BOOST_TEST_CONTEXT("later crashes quarantine it again") {
+    ReportThreeCrashes(100);
+    BOOST_TEST(Control.Store.contains(CrashingRequest));
+    Control.commitChanges(Manager, 101);
+    Control.commitChanges(Manager, 100 + Hour + 10);
+    BOOST_TEST(!Control.Store.contains(CrashingRequest));
   }
 }
 
-BOOST_AUTO_TEST_CASE(outlives_every_process_in_the_snapshot) {
+BOOST_AUTO_TEST_CASE(survives_in_the_snapshot) {
   state_machine State;
   wire::command Command;
-  fillName(Guilty,
+  fillName(CrashingRequest,
            *Command.mutable_quarantine()->mutable_add()->mutable_request());
   State.apply(1, Command.SerializeAsString());
   state_machine Next;
   BOOST_REQUIRE(Next.restore(State.image()));
-  BOOST_TEST(Next.quarantine().contains(Guilty));
+  BOOST_TEST(Next.quarantine().contains(CrashingRequest));
   BOOST_TEST(Next.quarantine().revision() == State.quarantine().revision());
 }
 
-BOOST_AUTO_TEST_CASE(keeps_the_newest_when_it_is_full) {
-  quarantine_store Book;
+BOOST_AUTO_TEST_CASE(drops_the_oldest_when_it_is_full) {
+  quarantine_store Store;
   for (uint64_t I = 0; I < 2 * quarantine_store::MaxRequests; ++I) {
     wire::quarantine_change Change;
-    fillName(stranger(I), *Change.mutable_add()->mutable_request());
-    BOOST_TEST(Book.apply(Change, 0));
+    fillName(unrelatedRequest(I), *Change.mutable_add()->mutable_request());
+    BOOST_TEST(Store.apply(Change, 0));
   }
-  BOOST_TEST(Book.all().size() == quarantine_store::MaxRequests);
-  BOOST_TEST(!Book.contains(stranger(0)));
-  BOOST_TEST(Book.contains(stranger(2 * quarantine_store::MaxRequests - 1)));
+  BOOST_TEST(Store.all().size() == quarantine_store::MaxRequests);
+  BOOST_TEST(!Store.contains(unrelatedRequest(0)));
+  BOOST_TEST(
+      Store.contains(unrelatedRequest(2 * quarantine_store::MaxRequests - 1)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(ends_of_upstreams)
+BOOST_AUTO_TEST_SUITE(crash_reports_of_a_gateway)
 
 namespace {
 
-class watched_world {
+class crash_watch_fixture {
 public:
-  // Nothing is asked of it in these tests: the loop does not run.
+  // Nothing connects to the address, because the loop does not run.
   static watched_upstream upstreamAt(uint64_t Place) {
     return {.Key = Place,
             .Name = "i-" + std::to_string(Place),
             .Address = "127.0.0.1:1"};
   }
-  void endsUnder(const short_digest &Request, uint64_t Place) {
+  void crashUnder(const short_digest &Request, uint64_t Place) {
     Watch.recordInterruptedRequest(upstreamAt(Place), Request);
     Watch.recordCrash(upstreamAt(Place), "test");
   }
@@ -269,122 +285,127 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(make_suspect_what_was_broken_off_there) {
-  watched_world World;
+BOOST_AUTO_TEST_CASE(make_interrupted_requests_suspects) {
+  crash_watch_fixture Fixture;
   for (uint64_t Place = 1; Place <= 3; ++Place) {
-    BOOST_TEST(!World.Reports.refuses(Guilty));
-    World.endsUnder(Guilty, Place);
-    BOOST_TEST(World.Reports.suspects(Guilty));
+    BOOST_TEST(!Fixture.Reports.refuses(CrashingRequest));
+    Fixture.crashUnder(CrashingRequest, Place);
+    BOOST_TEST(Fixture.Reports.suspects(CrashingRequest));
   }
-  BOOST_TEST(World.Reports.refuses(Guilty));
+  BOOST_TEST(Fixture.Reports.refuses(CrashingRequest));
 }
 
-BOOST_AUTO_TEST_CASE(are_held_against_what_breaks_off_after_them_too) {
-  watched_world World;
+BOOST_AUTO_TEST_CASE(include_requests_interrupted_after_the_crash) {
+  crash_watch_fixture Fixture;
   for (uint64_t Place = 1; Place <= 3; ++Place) {
-    World.Watch.recordCrash(World.upstreamAt(Place), "test");
-    World.Watch.recordInterruptedRequest(World.upstreamAt(Place), Guilty);
+    Fixture.Watch.recordCrash(Fixture.upstreamAt(Place), "test");
+    Fixture.Watch.recordInterruptedRequest(Fixture.upstreamAt(Place),
+                                           CrashingRequest);
   }
-  BOOST_TEST(World.Reports.refuses(Guilty));
+  BOOST_TEST(Fixture.Reports.refuses(CrashingRequest));
 }
 
-BOOST_AUTO_TEST_CASE(are_not_supposed_of_those_that_answer_on) {
-  watched_world World;
+BOOST_AUTO_TEST_CASE(exclude_requests_interrupted_before_a_later_answer) {
+  crash_watch_fixture Fixture;
   for (uint64_t Place = 1; Place <= 5; ++Place) {
-    World.Watch.recordInterruptedRequest(World.upstreamAt(Place), Guilty);
-    World.Watch.recordResponse(Place, steadySeconds() + 1);
-    World.Watch.recordCrash(World.upstreamAt(Place), "test");
+    Fixture.Watch.recordInterruptedRequest(Fixture.upstreamAt(Place),
+                                           CrashingRequest);
+    Fixture.Watch.recordResponse(Place, steadySeconds() + 1);
+    Fixture.Watch.recordCrash(Fixture.upstreamAt(Place), "test");
   }
-  BOOST_TEST(!World.Reports.refuses(Guilty));
+  BOOST_TEST(!Fixture.Reports.refuses(CrashingRequest));
 }
 
-BOOST_AUTO_TEST_CASE(told_by_others_count_like_the_own) {
-  watched_world World;
-  World.endsUnder(Guilty, 1);
-  World.Reports.hear(newsOf({{Guilty, 2}, {Guilty, 3}}));
-  BOOST_TEST(World.Reports.refuses(Guilty));
-  BOOST_TEST_CONTEXT("and those of the own are told on, not those heard") {
+BOOST_AUTO_TEST_CASE(of_peers_count_like_its_own) {
+  crash_watch_fixture Fixture;
+  Fixture.crashUnder(CrashingRequest, 1);
+  Fixture.Reports.hear(
+      crashReport({{CrashingRequest, 2}, {CrashingRequest, 3}}));
+  BOOST_TEST(Fixture.Reports.refuses(CrashingRequest));
+  BOOST_TEST_CONTEXT("only own reports are forwarded, not those of peers") {
     wire::crash_news Told;
-    World.Reports.fillRecent(Told);
+    Fixture.Reports.fillRecent(Told);
     BOOST_REQUIRE(Told.crashes_size() == 1);
     BOOST_TEST(Told.crashes(0).upstream() == 1U);
-    wire::crash_news ToControl;
-    World.Reports.fill(ToControl, 1);
-    BOOST_TEST(ToControl.crashes_size() == 1);
+    wire::crash_news ForControl;
+    Fixture.Reports.fill(ForControl, 1);
+    BOOST_TEST(ForControl.crashes_size() == 1);
   }
 }
 
-BOOST_AUTO_TEST_CASE(do_not_bar_what_was_answered_here_whoever_says_so) {
-  watched_world World;
-  World.Reports.answered(Popular);
-  wire::quarantine_news News;
-  News.set_revision(5);
-  fillName(Popular, *News.add_requests()->mutable_request());
-  fillName(Guilty, *News.add_requests()->mutable_request());
-  World.Reports.apply(News);
-  BOOST_TEST(!World.Reports.refuses(Popular));
-  BOOST_TEST(World.Reports.refuses(Guilty));
-  BOOST_TEST_CONTEXT("and control is told") {
+BOOST_AUTO_TEST_CASE(never_refuse_requests_that_were_answered_here) {
+  crash_watch_fixture Fixture;
+  Fixture.Reports.answered(HarmlessRequest);
+  wire::quarantine_news Message;
+  Message.set_revision(5);
+  fillName(HarmlessRequest, *Message.add_requests()->mutable_request());
+  fillName(CrashingRequest, *Message.add_requests()->mutable_request());
+  Fixture.Reports.apply(Message);
+  BOOST_TEST(!Fixture.Reports.refuses(HarmlessRequest));
+  BOOST_TEST(Fixture.Reports.refuses(CrashingRequest));
+  BOOST_TEST_CONTEXT("the answer is reported to control") {
     wire::crash_news Told;
-    World.Reports.fill(Told, 1);
+    Fixture.Reports.fill(Told, 1);
     BOOST_REQUIRE(Told.answered_size() == 1);
-    BOOST_TEST((digestOf(Told.answered(0)) == Popular));
+    BOOST_TEST((digestOf(Told.answered(0)) == HarmlessRequest));
     BOOST_TEST(Told.quarantine_revision() == 5U);
   }
-  BOOST_TEST_CONTEXT("older news change nothing") {
-    wire::quarantine_news Old;
-    Old.set_revision(4);
-    World.Reports.apply(Old);
-    BOOST_TEST(World.Reports.refuses(Guilty));
+  BOOST_TEST_CONTEXT("an older quarantine list changes nothing") {
+    wire::quarantine_news Older;
+    Older.set_revision(4);
+    Fixture.Reports.apply(Older);
+    BOOST_TEST(Fixture.Reports.refuses(CrashingRequest));
   }
-  BOOST_TEST_CONTEXT("news that let go do") {
-    wire::quarantine_news Free;
-    Free.set_revision(6);
-    World.Reports.apply(Free);
-    BOOST_TEST(!World.Reports.refuses(Guilty));
+  BOOST_TEST_CONTEXT("a newer list releases requests") {
+    wire::quarantine_news Newer;
+    Newer.set_revision(6);
+    Fixture.Reports.apply(Newer);
+    BOOST_TEST(!Fixture.Reports.refuses(CrashingRequest));
   }
 }
 
-// A VM that does not lead can decide nothing.
-BOOST_AUTO_TEST_CASE(are_told_with_each_message_until_the_leader_has_it) {
-  watched_world World;
-  World.endsUnder(Guilty, 1);
+// Guards against crash reports that are lost at a control VM which is not the
+// leader and therefore cannot decide on them.
+BOOST_AUTO_TEST_CASE(are_resent_until_the_leader_acknowledges_them) {
+  crash_watch_fixture Fixture;
+  Fixture.crashUnder(CrashingRequest, 1);
   double Sent = 0;
-  auto Tells = [&] {
-    wire::crash_news News;
-    World.Reports.fill(News, ++Sent);
-    return News.crashes_size();
+  auto CrashesInNextMessage = [&] {
+    wire::crash_news Message;
+    Fixture.Reports.fill(Message, ++Sent);
+    return Message.crashes_size();
   };
-  BOOST_TEST(Tells() == 1);
-  BOOST_TEST(Tells() == 1);
-  World.Reports.acknowledged(Sent - 1, 7); // A message before.
-  BOOST_TEST(Tells() == 1);
-  World.Reports.acknowledged(Sent, 7);
-  BOOST_TEST(Tells() == 0);
-  World.Reports.acknowledged(Sent, 8);
-  BOOST_TEST(Tells() == 1);
+  BOOST_TEST(CrashesInNextMessage() == 1);
+  BOOST_TEST(CrashesInNextMessage() == 1);
+  Fixture.Reports.acknowledged(Sent - 1, 7); // Acknowledges an earlier message.
+  BOOST_TEST(CrashesInNextMessage() == 1);
+  Fixture.Reports.acknowledged(Sent, 7);
+  BOOST_TEST(CrashesInNextMessage() == 0);
+  Fixture.Reports.acknowledged(Sent, 8);
+  BOOST_TEST(CrashesInNextMessage() == 1);
 }
 
-// Anything may stand in a datagram of the right sender's address.
-BOOST_AUTO_TEST_CASE(told_in_garbage_bar_nothing) {
-  watched_world World;
+// Guards against a datagram with arbitrary contents that comes from a peer's
+// address.
+BOOST_AUTO_TEST_CASE(that_are_malformed_refuse_nothing) {
+  crash_watch_fixture Fixture;
   std::mt19937_64 Random(3);
   for (int Turn = 0; Turn < 20000; ++Turn) {
-    wire::crash_news News;
+    wire::crash_news Message;
     for (int I = 0; I < 5; ++I) {
-      wire::crash_report *Report = News.add_crashes();
+      wire::crash_report *Report = Message.add_crashes();
       if (Random() % 4 != 0)
         fillName({Random(), Random()}, *Report->mutable_request());
       Report->set_upstream(Random());
     }
-    std::string Bytes = News.SerializeAsString();
+    std::string Bytes = Message.SerializeAsString();
     Bytes[Random() % Bytes.size()] = char(Random());
-    wire::crash_news Garbled;
-    if (Garbled.ParseFromString(Bytes))
-      World.Reports.hear(Garbled);
+    wire::crash_news Parsed;
+    if (Parsed.ParseFromString(Bytes))
+      Fixture.Reports.hear(Parsed);
   }
-  BOOST_TEST(!World.Reports.refuses(Guilty));
-  BOOST_TEST(!World.Reports.suspects(Popular));
+  BOOST_TEST(!Fixture.Reports.refuses(CrashingRequest));
+  BOOST_TEST(!Fixture.Reports.suspects(HarmlessRequest));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/documents_test.cpp
+++ b/tests/unit/documents_test.cpp
@@ -12,11 +12,11 @@
 
 BOOST_AUTO_TEST_SUITE(documents)
 
-BOOST_AUTO_TEST_CASE(name_the_field_that_is_wrong_and_what_is_allowed) {
+BOOST_AUTO_TEST_CASE(with_an_invalid_field_name_it_and_what_is_allowed) {
   struct bad_case {
     const char *Kind;
     const char *Document;
-    const char *Says;
+    const char *Expected;
   };
   const bad_case Cases[] = {
       {"model", R"({})", "must name at least one version"},
@@ -41,18 +41,18 @@
       auto Document = parseDocument(Case.Kind, "x", Case.Document);
       BOOST_REQUIRE(!Document.ok());
       std::string Message(messageOf(Document.status()));
-      BOOST_TEST(Message.find(Case.Says) != std::string::npos, Message);
+      BOOST_TEST(Message.find(Case.Expected) != std::string::npos, Message);
       BOOST_TEST(Message.find("/x") != std::string::npos, Message);
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(must_not_point_at_nothing) {
+BOOST_AUTO_TEST_CASE(with_dangling_references_are_refused) {
   struct bad_case {
     const char *Kind;
     const char *Name;
     const char *Document;
-    const char *Says;
+    const char *Expected;
   };
   const bad_case Cases[] = {
       {"template", "t", R"({"candidates":["none"]})", "no model or version"},
@@ -70,7 +70,8 @@
       absl::Status Status =
           Catalog.applyChanges(put(Case.Kind, Case.Name, Case.Document), 9);
       BOOST_TEST((kindOf(Status) == error_kind::BadConfiguration));
-      BOOST_TEST(messageOf(Status).find(Case.Says) != std::string_view::npos,
+      BOOST_TEST(messageOf(Status).find(Case.Expected) !=
+                     std::string_view::npos,
                  messageOf(Status));
       BOOST_TEST(Catalog.index() == 5U);
     }
@@ -81,10 +82,10 @@
 
 BOOST_AUTO_TEST_SUITE(settings_files)
 
-BOOST_AUTO_TEST_CASE(are_checked_whole_before_anything_starts) {
+BOOST_AUTO_TEST_CASE(are_refused_with_their_path_and_fault) {
   struct bad_case {
     const char *Text;
-    const char *Says;
+    const char *Expected;
   };
   const bad_case Cases[] = {
       {"{", "line 1"},
@@ -116,14 +117,14 @@
       auto Settings = loadSettings(Path);
       BOOST_REQUIRE(!Settings.ok());
       std::string Message(messageOf(Settings.status()));
-      BOOST_TEST(Message.find(Case.Says) != std::string::npos, Message);
+      BOOST_TEST(Message.find(Case.Expected) != std::string::npos, Message);
       BOOST_TEST(Message.find(Path) != std::string::npos, Message);
     }
   }
   BOOST_TEST(!loadSettings(Folder.path() + "/none.json").ok());
 }
 
-BOOST_AUTO_TEST_CASE(name_the_line_of_each_fault) {
+BOOST_AUTO_TEST_CASE(are_refused_with_the_line_of_each_fault) {
   temporary_folder Folder;
   std::string Path = Folder.path() + "/s.json";
   std::ofstream(Path) << R"({
@@ -143,10 +144,12 @@
   auto Settings = loadSettings(Path);
   BOOST_REQUIRE(!Settings.ok());
   std::string Message(messageOf(Settings.status()));
-  for (const char *Says : {"line 8: control_members[1].address: is 'nowhere'",
-                           "line 8: control_members[1].id: 1 is used twice",
-                           "line 12: entry.max_body_bytes: is 1, must be from"})
-    BOOST_TEST(Message.find(Path + ": " + Says) != std::string::npos, Message);
+  for (const char *Expected :
+       {"line 8: control_members[1].address: is 'nowhere'",
+        "line 8: control_members[1].id: 1 is used twice",
+        "line 12: entry.max_body_bytes: is 1, must be from"})
+    BOOST_TEST(Message.find(Path + ": " + Expected) != std::string::npos,
+               Message);
 
   std::ofstream(Path) << R"({
   "models": {"m.1": {"versions": {"2.0": {}}}},
--- a/tests/unit/errors_test.cpp
+++ b/tests/unit/errors_test.cpp
@@ -7,7 +7,7 @@
 
 BOOST_AUTO_TEST_SUITE(error_kinds)
 
-BOOST_AUTO_TEST_CASE(stand_in_the_table_in_their_own_row) {
+BOOST_AUTO_TEST_CASE(match_their_row_in_the_response_table) {
   for (uint32_t I = 0; I <= uint32_t(error_kind::Last); ++I) {
     const error_answer &Answer = answerFor(error_kind(I));
     BOOST_TEST(uint32_t(Answer.Kind) == I);
--- a/tests/unit/evacuation_test.cpp
+++ b/tests/unit/evacuation_test.cpp
@@ -18,13 +18,13 @@
   });
 }
 
-wire::evacuation_news newsOf(uint64_t Revision,
-                             const std::vector<std::string> &Halls) {
-  wire::evacuation_news News;
-  News.set_revision(Revision);
+wire::evacuation_news evacuationUpdate(uint64_t Revision,
+                                       const std::vector<std::string> &Halls) {
+  wire::evacuation_news Update;
+  Update.set_revision(Revision);
   for (const std::string &Hall : Halls)
-    News.add_evacuations()->set_data_hall(Hall);
-  return News;
+    Update.add_evacuations()->set_data_hall(Hall);
+  return Update;
 }
 
 platform::listed_upstream listedIn(const std::string &Id,
@@ -36,7 +36,7 @@
 
 BOOST_AUTO_TEST_SUITE(evacuations)
 
-BOOST_AUTO_TEST_CASE(given_twice_or_taken_back_twice_change_nothing_more) {
+BOOST_AUTO_TEST_CASE(ordered_or_restored_twice_have_no_further_effect) {
   state_machine State;
   uint64_t Index = 0;
   auto Order = [&](const std::string &Hall, bool Restore) {
@@ -54,7 +54,7 @@
   BOOST_TEST(!State.evacuations().contains("lac"));
 }
 
-BOOST_AUTO_TEST_CASE(are_in_snapshots) {
+BOOST_AUTO_TEST_CASE(are_kept_in_snapshots) {
   state_machine State;
   State.apply(1, orderText("lac", false));
   State.apply(2, orderText("charguia", false));
@@ -77,18 +77,18 @@
   BOOST_TEST(State.apply(++Index, orderText("more", false)).Status.ok());
 }
 
-BOOST_AUTO_TEST_CASE(are_not_undone_by_news_that_come_late) {
+BOOST_AUTO_TEST_CASE(are_not_undone_by_stale_updates) {
   evacuated_halls Halls;
-  BOOST_TEST(Halls.applyUpdate(newsOf(2, {"lac"})));
-  BOOST_TEST(!Halls.applyUpdate(newsOf(1, {})));
-  BOOST_TEST(!Halls.applyUpdate(newsOf(2, {"charguia"})));
+  BOOST_TEST(Halls.applyUpdate(evacuationUpdate(2, {"lac"})));
+  BOOST_TEST(!Halls.applyUpdate(evacuationUpdate(1, {})));
+  BOOST_TEST(!Halls.applyUpdate(evacuationUpdate(2, {"charguia"})));
   BOOST_TEST(!Halls.applyUpdate({}));
   BOOST_TEST(Halls.contains("lac"));
-  BOOST_TEST(Halls.applyUpdate(newsOf(3, {})));
+  BOOST_TEST(Halls.applyUpdate(evacuationUpdate(3, {})));
   BOOST_TEST(!Halls.contains("lac"));
 }
 
-BOOST_AUTO_TEST_CASE(hold_for_upstreams_that_are_listed_later) {
+BOOST_AUTO_TEST_CASE(apply_to_upstreams_that_are_listed_later) {
   upstream_table Table;
   Table.update({listedIn("a", "lac"), listedIn("b", "charguia")}, 0);
   BOOST_TEST(Table.setEvacuated({"lac"}).empty());
@@ -98,7 +98,7 @@
   for (const auto &Each : Table.ofService("s"))
     BOOST_TEST(Each->acceptsRequests(1) == (Each->Listed.DataHall != "lac"));
   BOOST_TEST(!Table.allEvacuated("s"));
-  BOOST_TEST_CONTEXT("and say which were restored") {
+  BOOST_TEST_CONTEXT("a change returns the upstreams that were restored") {
     BOOST_TEST(Table.setEvacuated({"charguia"}).size() == 2U);
     BOOST_TEST(Table.setEvacuated({"charguia", "lac"}).empty());
     BOOST_TEST(Table.allEvacuated("s"));
--- a/tests/unit/fixtures.h
+++ b/tests/unit/fixtures.h
@@ -8,18 +8,19 @@
 
 namespace olivevalve {
 
-/// A change set that puts one object.
+/// Returns a change set that creates or replaces one object.
 wire::change_set put(const std::string &Kind, const std::string &Name,
                      const std::string &Document);
 
-/// Model m with versions 1 and 2, service led, account acc that may use m@1
-/// and led, upstreams u (both versions) and s (led); at index 5.
+/// Returns a catalog at index 5 with model m (versions 1 and 2), service led,
+/// account acc that may use m@1 and led, and the upstreams u (both versions)
+/// and s (led).
 catalog smallCatalog();
 
-/// A command of the log, filled by \p Fill.
+/// Returns a serialized command of the replicated log, filled by \p Fill.
 std::string commandText(const std::function<void(wire::command &)> &Fill);
 
-/// A claim of account a.
+/// Returns a claim of account a in the space "request".
 wire::claim claimOf(const std::string &Key, const std::string &Value);
 
 } // namespace olivevalve
--- a/tests/unit/gateway_test.cpp
+++ b/tests/unit/gateway_test.cpp
@@ -60,7 +60,7 @@
 
 BOOST_AUTO_TEST_SUITE(events)
 
-BOOST_AUTO_TEST_CASE(are_passed_on_whole_wherever_the_bytes_are_cut) {
+BOOST_AUTO_TEST_CASE(are_forwarded_complete_wherever_the_bytes_are_cut) {
   std::string Stream = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n"
                        ": note\n\nid:3\ndata: c\n\n";
   for (size_t Cut = 0; Cut <= Stream.size(); ++Cut) {
@@ -73,7 +73,8 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(half_of_one_is_dropped_when_the_stream_goes_on_elsewhere) {
+BOOST_AUTO_TEST_CASE(
+    partial_event_is_dropped_when_the_stream_resumes_elsewhere) {
   event_splitter Splitter;
   BOOST_TEST(Splitter.take("id: 1\ndata: a\n\nid: 2\ndata: b") ==
              "id: 1\ndata: a\n\n");
@@ -87,7 +88,7 @@
 
 BOOST_AUTO_TEST_SUITE(choice_of_an_upstream)
 
-BOOST_AUTO_TEST_CASE(takes_the_least_loaded_and_the_own_data_hall_first) {
+BOOST_AUTO_TEST_CASE(picks_the_least_loaded_and_prefers_its_data_hall) {
   std::mt19937_64 Random(1);
   BOOST_TEST(*chooseLeastLoaded(views({5, 2, 7}), Random) == 1U);
   auto Views = views({2, 2, 2});
@@ -102,26 +103,27 @@
   BOOST_TEST(!chooseLeastLoaded({}, Random).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(sends_a_shared_part_to_one_place_and_moves_few_later) {
+BOOST_AUTO_TEST_CASE(
+    keeps_a_shared_prefix_on_one_upstream_when_another_leaves) {
   std::mt19937_64 Random(1);
   auto All = views({1, 1, 1, 1, 1, 1}, 0.3);
   auto Fewer = All;
   Fewer.pop_back();
   std::set<size_t> Used;
   for (uint64_t Key = 0; Key < 200; ++Key) {
-    prompt_view Prompt{.PrefillSeconds = 0.3,
-                       .SharedPrefillSeconds = 0.2,
-                       .SharedPrefixKey = Key};
-    size_t Place = *chooseEarliestFirstToken(All, Prompt, Random);
-    BOOST_TEST(*chooseEarliestFirstToken(All, Prompt, Random) == Place);
-    if (Place < Fewer.size())
-      BOOST_TEST(*chooseEarliestFirstToken(Fewer, Prompt, Random) == Place);
-    Used.insert(Place);
+    prompt_view Prompt{
+        .PrefillSeconds = 0.3, .SharedPrefillSeconds = 0.2, .SharedPrefixKey = Key};
+    size_t Index = *chooseEarliestFirstToken(All, Prompt, Random);
+    BOOST_TEST(*chooseEarliestFirstToken(All, Prompt, Random) == Index);
+    if (Index < Fewer.size())
+      BOOST_TEST(*chooseEarliestFirstToken(Fewer, Prompt, Random) == Index);
+    Used.insert(Index);
   }
   BOOST_TEST(Used.size() == All.size());
 }
 
-BOOST_AUTO_TEST_CASE(gives_a_shared_part_away_rather_than_let_it_wait) {
+BOOST_AUTO_TEST_CASE(
+    moves_a_shared_prefix_when_its_upstream_is_busy_or_suspect) {
   std::mt19937_64 Random(1);
   auto Views = views({1, 1, 1}, 0.3);
   prompt_view Prompt{
@@ -133,11 +135,11 @@
   Views[Home].Suspect = true;
   BOOST_TEST(*chooseEarliestFirstToken(Views, Prompt, Random) != Home);
   Views[Home].Suspect = false;
-  Views[Home].Load = Views[Home].Slots; // Full.
+  Views[Home].Load = Views[Home].Slots; // All slots in use.
   BOOST_TEST(*chooseEarliestFirstToken(Views, Prompt, Random) != Home);
 }
 
-BOOST_AUTO_TEST_CASE(stays_in_the_own_data_hall_while_it_costs_little) {
+BOOST_AUTO_TEST_CASE(prefers_its_data_hall_unless_the_wait_is_longer) {
   std::mt19937_64 Random(1);
   auto Views = views({1, 1, 1});
   Views[1].SameHall = true;
@@ -148,7 +150,8 @@
   BOOST_TEST(*chooseEarliestFirstToken(Views, Prompt, Random) != 1U);
 }
 
-BOOST_AUTO_TEST_CASE(goes_where_the_prompt_is_kept_unless_that_waits_too_long) {
+BOOST_AUTO_TEST_CASE(
+    prefers_the_upstream_with_the_cached_prompt_unless_it_is_busy) {
   std::mt19937_64 Random(1);
   auto Views = views({1, 1, 1, 1});
   prompt_view Prompt{.PrefillSeconds = 0.3, .SharedPrefillSeconds = 0.2};
@@ -166,74 +169,74 @@
 }
 
 BOOST_AUTO_TEST_CASE(
-    puts_a_session_behind_a_beginning_that_all_keep_in_one_place) {
+    keeps_a_session_on_one_upstream_when_all_cache_the_first_block) {
   std::mt19937_64 Random(1);
   auto Views = views({1, 1, 1, 1});
-  // All keep the first level; none the second, which the key names.
+  // Every upstream caches the first prompt block and none the second, which
+  // the key identifies.
   for (upstream_view &View : Views)
     View.UncachedPrefillSeconds = 0.2;
-  prompt_view Prompt{.PrefillSeconds = 0.3,
-                     .SharedPrefillSeconds = 0.25,
-                     .SharedPrefixKey = 7};
-  size_t Place = *chooseEarliestFirstToken(Views, Prompt, Random);
+  prompt_view Prompt{
+      .PrefillSeconds = 0.3, .SharedPrefillSeconds = 0.25, .SharedPrefixKey = 7};
+  size_t Index = *chooseEarliestFirstToken(Views, Prompt, Random);
   for (int I = 0; I < 50; ++I)
-    BOOST_TEST(*chooseEarliestFirstToken(Views, Prompt, Random) == Place);
+    BOOST_TEST(*chooseEarliestFirstToken(Views, Prompt, Random) == Index);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(work_of_prompts)
+BOOST_AUTO_TEST_SUITE(prefill_estimates)
 
-BOOST_AUTO_TEST_CASE(learns_the_pace_of_a_model_from_those_that_did_not_wait) {
-  prefill_estimator Pace;
+BOOST_AUTO_TEST_CASE(are_not_inflated_by_queueing_time) {
+  prefill_estimator Estimator;
   constexpr uint32_t Tokens = 10000;
-  BOOST_TEST(Pace.estimateSeconds("large", 10, Tokens) >
-             5 * Pace.estimateSeconds("small", 1, Tokens));
+  BOOST_TEST(Estimator.estimateSeconds("large", 10, Tokens) >
+             5 * Estimator.estimateSeconds("small", 1, Tokens));
   std::mt19937_64 Random(3);
   constexpr double Real = 0.4;
   for (int I = 0; I < 2000; ++I) {
     bool Waited = Random() % 10 < 7;
-    Pace.recordFirstToken("large", 10, Tokens, 0,
-                          0.05 + (Waited ? 5 * Real : Real));
+    Estimator.recordFirstToken("large", 10, Tokens, 0,
+                               0.05 + (Waited ? 5 * Real : Real));
   }
-  BOOST_TEST(Pace.estimateSeconds("large", 10, Tokens) > 0.8 * Real);
-  BOOST_TEST(Pace.estimateSeconds("large", 10, Tokens) < 1.3 * Real);
-  // Reading takes longer than in proportion.
-  BOOST_TEST(Pace.estimateSeconds("large", 10, 2 * Tokens) >
-             2.1 * Pace.estimateSeconds("large", 10, Tokens));
+  BOOST_TEST(Estimator.estimateSeconds("large", 10, Tokens) > 0.8 * Real);
+  BOOST_TEST(Estimator.estimateSeconds("large", 10, Tokens) < 1.3 * Real);
+  // Prefill time grows faster than linearly with the prompt length.
+  BOOST_TEST(Estimator.estimateSeconds("large", 10, 2 * Tokens) >
+             2.1 * Estimator.estimateSeconds("large", 10, Tokens));
 }
 
-BOOST_AUTO_TEST_CASE(learns_a_pace_far_from_the_first_guess_in_a_few_answers) {
-  prefill_estimator Pace;
+BOOST_AUTO_TEST_CASE(converge_in_a_few_answers_from_a_wrong_prior) {
+  prefill_estimator Estimator;
   constexpr uint32_t Tokens = 10000;
-  double Real = 5 * Pace.estimateSeconds("small", 1, Tokens);
+  double Real = 5 * Estimator.estimateSeconds("small", 1, Tokens);
   for (int I = 0; I < 20; ++I)
-    Pace.recordFirstToken("small", 1, Tokens, 0, 0.05 + Real);
-  BOOST_TEST(Pace.estimateSeconds("small", 1, Tokens) > 0.5 * Real);
-  BOOST_TEST(Pace.estimateSeconds("small", 1, Tokens) < 1.5 * Real);
+    Estimator.recordFirstToken("small", 1, Tokens, 0, 0.05 + Real);
+  BOOST_TEST(Estimator.estimateSeconds("small", 1, Tokens) > 0.5 * Real);
+  BOOST_TEST(Estimator.estimateSeconds("small", 1, Tokens) < 1.5 * Real);
 }
 
-BOOST_AUTO_TEST_CASE(takes_what_was_kept_for_no_sign_of_a_fast_model) {
-  prefill_estimator Pace;
-  double Before = Pace.estimateSeconds("small", 1, 10000);
-  double Rest = Pace.estimateSeconds("small", 1, 10000, 8000);
+BOOST_AUTO_TEST_CASE(do_not_mistake_cached_tokens_for_a_fast_model) {
+  prefill_estimator Estimator;
+  double Before = Estimator.estimateSeconds("small", 1, 10000);
+  double Rest = Estimator.estimateSeconds("small", 1, 10000, 8000);
   BOOST_TEST(Rest > 0.2 * Before);
   BOOST_TEST(Rest < 0.3 * Before);
   for (int I = 0; I < 20; ++I)
-    Pace.recordFirstToken("small", 1, 10000, 8000, 0.05 + Rest);
-  BOOST_TEST(Pace.estimateSeconds("small", 1, 10000) > 0.7 * Before);
-  BOOST_TEST(Pace.estimateSeconds("small", 1, 10000) < 1.4 * Before);
-  // Too little was read to tell.
-  Before = Pace.estimateSeconds("small", 1, 10000);
-  Pace.recordFirstToken("small", 1, 10000, 9900, 9);
-  Pace.recordFirstToken("small", 1, 300, 20000, 9);
-  BOOST_TEST(Pace.estimateSeconds("small", 1, 10000) == Before);
-  BOOST_TEST(Pace.estimateSeconds("small", 1, 300, 20000) == 0);
+    Estimator.recordFirstToken("small", 1, 10000, 8000, 0.05 + Rest);
+  BOOST_TEST(Estimator.estimateSeconds("small", 1, 10000) > 0.7 * Before);
+  BOOST_TEST(Estimator.estimateSeconds("small", 1, 10000) < 1.4 * Before);
+  // Too few tokens were prefilled for a measurement.
+  Before = Estimator.estimateSeconds("small", 1, 10000);
+  Estimator.recordFirstToken("small", 1, 10000, 9900, 9);
+  Estimator.recordFirstToken("small", 1, 300, 20000, 9);
+  BOOST_TEST(Estimator.estimateSeconds("small", 1, 10000) == Before);
+  BOOST_TEST(Estimator.estimateSeconds("small", 1, 300, 20000) == 0);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(memory_of_prompts)
+BOOST_AUTO_TEST_SUITE(prefix_cache_tracking)
 
 namespace {
 
@@ -243,51 +246,51 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(knows_what_was_sent_where) {
-  prefix_cache_model Memory;
-  BOOST_TEST(Memory.cachedTokens(Home, Review) == 0U);
-  Memory.addPrompt(Home, Review);
-  BOOST_TEST(Memory.cachedTokens(Home, Review) == 9200U);
-  BOOST_TEST(Memory.cachedTokens(Elsewhere, Review) == 0U);
-  // Another session of the same subject, and another subject.
-  BOOST_TEST(Memory.cachedTokens(Home, std::vector<prompt_block>{
-                                           {11, 2500}, {22, 3800}}) == 2500U);
-  // A part is of no use without all before it.
-  BOOST_TEST(Memory.cachedTokens(
+BOOST_AUTO_TEST_CASE(counts_only_prefixes_sent_to_the_upstream) {
+  prefix_cache_model Caches;
+  BOOST_TEST(Caches.cachedTokens(Home, Review) == 0U);
+  Caches.addPrompt(Home, Review);
+  BOOST_TEST(Caches.cachedTokens(Home, Review) == 9200U);
+  BOOST_TEST(Caches.cachedTokens(Elsewhere, Review) == 0U);
+  // Another session that shares the first block.
+  BOOST_TEST(Caches.cachedTokens(Home, std::vector<prompt_block>{{11, 2500},
+                                                         {22, 3800}}) == 2500U);
+  // A cached block cannot be used unless all blocks before it are cached.
+  BOOST_TEST(Caches.cachedTokens(
                  Home, std::vector<prompt_block>{{31, 100}, {12, 3800}}) == 0U);
-  Memory.removeUpstream(Home);
-  BOOST_TEST(Memory.cachedTokens(Home, Review) == 0U);
+  Caches.removeUpstream(Home);
+  BOOST_TEST(Caches.cachedTokens(Home, Review) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(gives_up_what_was_longest_unused_when_there_is_no_room) {
-  prefix_cache_model Memory;
-  Memory.setCapacity(20000);
-  Memory.addPrompt(Home, Review);
+BOOST_AUTO_TEST_CASE(evicts_the_least_recently_used_blocks_when_full) {
+  prefix_cache_model Caches;
+  Caches.setCapacity(20000);
+  Caches.addPrompt(Home, Review);
   for (uint64_t Key = 100; Key < 103; ++Key) {
-    Memory.addPrompt(Home, std::vector<prompt_block>{{11, 2500}, {Key, 3000}});
+    Caches.addPrompt(Home, std::vector<prompt_block>{{11, 2500}, {Key, 3000}});
   }
-  // The beginning is in use all the time, the session's part is not.
-  BOOST_TEST(Memory.cachedTokens(Home, Review) >= 2500U);
-  BOOST_TEST(Memory.cachedTokens(Home, Review) < 9200U);
-  // One prompt that fills the memory is held all the same.
-  std::vector<prompt_block> Whole = {{55, 90000}};
-  Memory.addPrompt(Home, Whole);
-  BOOST_TEST(Memory.cachedTokens(Home, Whole) == 90000U);
-  BOOST_TEST(Memory.cachedTokens(Home, Review) == 0U);
-}
-
-BOOST_AUTO_TEST_CASE(takes_back_what_may_not_have_been_read) {
-  prefix_cache_model Memory;
-  Memory.addPrompt(Home, std::span(Review).first(1));
-  Memory.addPrompt(Home, Review);
-  Memory.removeBlocks(Home, std::span(Review).subspan(1));
-  BOOST_TEST(Memory.cachedTokens(Home, Review) == 2500U);
-  Memory.removeBlocks(Elsewhere, Review);
-  Memory.removeBlocks(Home, Review);
-  BOOST_TEST(Memory.cachedTokens(Home, Review) == 0U);
-}
-
-// A request as the platform's header names its parts.
+  // The shared prefix is requested all the time, the session's suffix is not.
+  BOOST_TEST(Caches.cachedTokens(Home, Review) >= 2500U);
+  BOOST_TEST(Caches.cachedTokens(Home, Review) < 9200U);
+  // A single prompt larger than the capacity is still recorded.
+  std::vector<prompt_block> Complete = {{55, 90000}};
+  Caches.addPrompt(Home, Complete);
+  BOOST_TEST(Caches.cachedTokens(Home, Complete) == 90000U);
+  BOOST_TEST(Caches.cachedTokens(Home, Review) == 0U);
+}
+
+BOOST_AUTO_TEST_CASE(removes_blocks_that_may_not_have_been_prefilled) {
+  prefix_cache_model Caches;
+  Caches.addPrompt(Home, std::span(Review).first(1));
+  Caches.addPrompt(Home, Review);
+  Caches.removeBlocks(Home, std::span(Review).subspan(1));
+  BOOST_TEST(Caches.cachedTokens(Home, Review) == 2500U);
+  Caches.removeBlocks(Elsewhere, Review);
+  Caches.removeBlocks(Home, Review);
+  BOOST_TEST(Caches.cachedTokens(Home, Review) == 0U);
+}
+
+// Prompt work of a request with the given prefix-hash and token-count headers.
 prompt_work workOfParts(const std::string &Parts, const std::string &Tokens) {
   gateway_state State;
   routing_table Routing{routing_config()};
@@ -303,7 +306,7 @@
       {.Service = "llm", .Route = Route, .Facts = Facts, .Tried = Tried});
 }
 
-BOOST_AUTO_TEST_CASE(is_named_by_all_parts_up_to_each) {
+BOOST_AUTO_TEST_CASE(keys_depend_on_all_preceding_blocks) {
   prompt_work Work = workOfParts("a:100,b:200,c:50", "350,20");
   BOOST_REQUIRE_EQUAL(Work.Blocks.size(), 3U);
   BOOST_TEST(Work.Prompt.SharedPrefixKey == Work.Blocks[1].Key);
@@ -314,7 +317,7 @@
   BOOST_TEST(Work.Blocks[2].Key != Other.Blocks[2].Key);
 }
 
-BOOST_AUTO_TEST_CASE(is_not_learnt_from_parts_that_cannot_be) {
+BOOST_AUTO_TEST_CASE(ignores_invalid_prefix_headers) {
   std::string Many;
   for (int I = 0; I < 500; ++I)
     Many += (I ? ",1:1" : "1:1");
@@ -329,7 +332,8 @@
 
 BOOST_AUTO_TEST_SUITE(choice_of_a_model)
 
-// The largest model costs 0.12 for 1,000 tokens; upstreams are free.
+// An answer of the smallest of three models. The largest model costs 0.12 per
+// 1,000 tokens; the upstreams are idle.
 larger_model_input answerOf(request_size Size, double Confidence) {
   return {.ModelCount = 3,
           .Confidence = Confidence,
@@ -351,7 +355,7 @@
   return largerModel(Answer).has_value();
 }
 
-BOOST_AUTO_TEST_CASE(asks_the_largest_when_the_smallest_doubts_itself) {
+BOOST_AUTO_TEST_CASE(escalates_to_the_largest_at_low_confidence) {
   BOOST_TEST(firstModel(3) == 0U);
   for (request_size Size : {Appraisal, Summary}) {
     larger_model_input Answer = answerOf(Size, 0.2);
@@ -366,54 +370,55 @@
   BOOST_TEST(poorAnswerProbability(1) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(weighs_what_an_answer_is_worth_with_what_it_costs) {
-  // A long prompt with a short answer is worth the largest model in doubt: an
-  // answer that is poor is of no use however short it is.
+BOOST_AUTO_TEST_CASE(weighs_answer_utility_against_cost) {
+  // A long prompt with a short answer justifies the largest model at medium
+  // confidence: a poor answer is useless even if it is short.
   BOOST_TEST(asks(Appraisal, 0.55));
   BOOST_TEST(!asks(Appraisal, 0.65));
   BOOST_TEST(asks(Summary, 0.55));
-  larger_model_input Dear = answerOf(Appraisal, 0.55);
-  Dear.LargestCost = 0.5;
-  BOOST_TEST(!largerModel(Dear).has_value());
-  // Less urgent, worth less.
+  larger_model_input Expensive = answerOf(Appraisal, 0.55);
+  Expensive.LargestCost = 0.5;
+  BOOST_TEST(!largerModel(Expensive).has_value());
+  // Less urgent requests have a lower utility.
   request_size Least = Appraisal;
   Least.Priority = 5;
   BOOST_TEST(!asks(Least, 0.55));
   BOOST_TEST(utilityOf(Appraisal) > utilityOf(Least));
 }
 
-BOOST_AUTO_TEST_CASE(
-    leaves_the_largest_to_those_in_most_doubt_when_others_are_refused) {
-  auto AsksWhile = [](double RefusalProbability, double Confidence) {
+BOOST_AUTO_TEST_CASE(escalates_less_while_requests_are_refused) {
+  auto EscalatesWhile = [](double RefusalProbability, double Confidence) {
     larger_model_input Answer = answerOf(Appraisal, Confidence);
     Answer.RefusalProbability = RefusalProbability;
     return largerModel(Answer).has_value();
   };
-  BOOST_TEST(AsksWhile(0, 0.55));
-  BOOST_TEST(!AsksWhile(0.5, 0.55));
-  BOOST_TEST(AsksWhile(0.5, 0.2));
-  BOOST_TEST(!AsksWhile(1, 0));
+  BOOST_TEST(EscalatesWhile(0, 0.55));
+  BOOST_TEST(!EscalatesWhile(0.5, 0.55));
+  BOOST_TEST(EscalatesWhile(0.5, 0.2));
+  BOOST_TEST(!EscalatesWhile(1, 0));
 }
 
-BOOST_AUTO_TEST_CASE(
-    leaves_the_largest_to_those_in_most_doubt_when_prompts_wait) {
-  constexpr double Earned = 15; // For a second of an upstream.
+BOOST_AUTO_TEST_CASE(escalates_less_while_prompts_queue) {
+  constexpr double UtilityPerSecond = 15; // Utility per upstream second.
   constexpr double WorkSeconds = 1.65;
-  double Short = opportunityCostPerSecond(Earned, 0.3, WorkSeconds);
-  double Long = opportunityCostPerSecond(Earned, 8, WorkSeconds);
+  double Short = opportunityCostPerSecond(UtilityPerSecond, 0.3, WorkSeconds);
+  double Long = opportunityCostPerSecond(UtilityPerSecond, 8, WorkSeconds);
   BOOST_TEST(asks(Appraisal, 0.55, Short));
   BOOST_TEST(!asks(Appraisal, 0.55, Long));
   BOOST_TEST(!asks(Appraisal, 0.2, Long));
-  BOOST_TEST(opportunityCostPerSecond(Earned, 100, WorkSeconds) == Earned);
-  BOOST_TEST(opportunityCostPerSecond(Earned, 1, 0) == Earned);
+  BOOST_TEST(opportunityCostPerSecond(UtilityPerSecond, 100, WorkSeconds) ==
+             UtilityPerSecond);
+  BOOST_TEST(opportunityCostPerSecond(UtilityPerSecond, 1, 0) ==
+             UtilityPerSecond);
   BOOST_TEST(opportunityCostPerSecond(0, 1, WorkSeconds) == 0);
-  // What would come too late is worth little.
+  // An answer that would miss the latency target has little utility.
   BOOST_TEST(!asks(Appraisal, 0.5, 0, false));
   BOOST_TEST(asks(Appraisal, 0.2, 0, false));
 }
 
-// The same backlog is a short one where works are long.
-BOOST_AUTO_TEST_CASE(measures_a_backlog_by_the_works_of_its_fleet) {
+// Guards against judging a backlog in absolute seconds: the same backlog is
+// short where single requests take long.
+BOOST_AUTO_TEST_CASE(scales_the_backlog_by_processing_times) {
   processing_time_stats Short;
   processing_time_stats Long;
   BOOST_TEST(Short.residualSeconds() == 0);
@@ -423,46 +428,49 @@
   }
   BOOST_TEST(Short.residualSeconds() == 0.2,
              boost::test_tools::tolerance(1e-9));
-  constexpr double Earned = 15;
-  double OfShort = opportunityCostPerSecond(Earned, 1, Short.residualSeconds());
-  double OfLong = opportunityCostPerSecond(Earned, 1, Long.residualSeconds());
-  BOOST_TEST(!asks(Appraisal, 0.55, OfShort));
-  BOOST_TEST(asks(Appraisal, 0.55, OfLong));
-  BOOST_TEST_CONTEXT("one long work among many short ones counts") {
+  constexpr double UtilityPerSecond = 15;
+  double CostOfShort =
+      opportunityCostPerSecond(UtilityPerSecond, 1, Short.residualSeconds());
+  double CostOfLong =
+      opportunityCostPerSecond(UtilityPerSecond, 1, Long.residualSeconds());
+  BOOST_TEST(!asks(Appraisal, 0.55, CostOfShort));
+  BOOST_TEST(asks(Appraisal, 0.55, CostOfLong));
+  BOOST_TEST_CONTEXT(
+      "a few long requests among many short ones raise the residual time") {
     for (int I = 0; I < 20; ++I)
       Short.add(2);
     BOOST_TEST(Short.residualSeconds() > 1);
   }
 }
 
-BOOST_AUTO_TEST_CASE(learns_what_a_second_of_an_upstream_earns) {
-  utility_rate Earnings;
-  BOOST_TEST(Earnings.perSecond() == 0);
-  Earnings.add(3, 0.5);
-  BOOST_TEST(Earnings.perSecond() == 6);
+BOOST_AUTO_TEST_CASE(tracks_utility_per_upstream_second) {
+  utility_rate Rate;
+  BOOST_TEST(Rate.perSecond() == 0);
+  Rate.add(3, 0.5);
+  BOOST_TEST(Rate.perSecond() == 6);
   for (int I = 0; I < 2000; ++I)
-    Earnings.add(1, 0.1);
-  BOOST_TEST(std::abs(Earnings.perSecond() - 10) < 0.1);
+    Rate.add(1, 0.1);
+  BOOST_TEST(std::abs(Rate.perSecond() - 10) < 0.1);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(work_of_other_gateways)
+BOOST_AUTO_TEST_SUITE(peer_gateway_work)
 
 namespace {
 
-wire::work_news newsOf(uint64_t Gateway, uint64_t Sequence,
-                       bool Whole = false) {
-  wire::work_news News;
-  News.set_gateway(Gateway);
-  News.set_sequence(Sequence);
-  News.set_whole(Whole);
-  return News;
+wire::work_news workReport(uint64_t Gateway, uint64_t Sequence,
+                           bool Complete = false) {
+  wire::work_news Report;
+  Report.set_gateway(Gateway);
+  Report.set_sequence(Sequence);
+  Report.set_whole(Complete);
+  return Report;
 }
 
-void add(wire::work_news &News, uint64_t Upstream, uint32_t PromptMs,
-         uint32_t InFlight) {
-  wire::upstream_work *Work = News.add_works();
+void addWork(wire::work_news &Report, uint64_t Upstream, uint32_t PromptMs,
+             uint32_t InFlight) {
+  wire::upstream_work *Work = Report.add_works();
   Work->set_upstream(Upstream);
   Work->set_prompt_ms(PromptMs);
   Work->set_in_flight(InFlight);
@@ -470,86 +478,90 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(adds_up_and_the_last_news_of_each_counts) {
-  peer_work_totals Others;
-  auto First = newsOf(1, 1);
-  add(First, 7, 300, 2);
-  add(First, 8, 0, 1);
-  auto Second = newsOf(2, 5);
-  add(Second, 7, 200, 1);
-  Others.update(First, 0);
-  Others.update(Second, 0);
-  BOOST_TEST(Others.at(7).InFlight == 3U);
-  BOOST_TEST(std::abs(Others.at(7).PrefillSeconds - 0.5) < 1e-9);
-  auto Later = newsOf(1, 2);
-  add(Later, 7, 0, 1);
-  Others.update(Later, 1);
-  Others.update(First, 1); // Overtaken on its way.
-  BOOST_TEST(Others.at(7).InFlight == 2U);
-  BOOST_TEST(Others.at(8).InFlight == 1U);
-  BOOST_TEST(Others.at(9).InFlight == 0U);
-}
-
-BOOST_AUTO_TEST_CASE(lost_news_are_made_good_by_the_next_whole_ones) {
-  peer_work_totals Others;
-  auto First = newsOf(1, 1);
-  add(First, 7, 300, 2);
-  Others.update(First, 0);
-  auto Whole = newsOf(1, 3, true);
-  add(Whole, 8, 100, 1);
-  Others.update(Whole, 1);
-  BOOST_TEST(Others.at(7).InFlight == 0U);
-  BOOST_TEST(Others.at(8).InFlight == 1U);
-}
-
-BOOST_AUTO_TEST_CASE(of_a_silent_gateway_is_forgotten) {
-  peer_work_totals Others;
-  auto First = newsOf(1, 1);
-  add(First, 7, 300, 2);
-  Others.update(First, 0);
-  auto Second = newsOf(2, 1);
-  add(Second, 7, 100, 1);
-  Others.update(Second, 4);
-  Others.forgetSilent(4.5);
-  BOOST_TEST(Others.gateways() == 1U);
-  BOOST_TEST(Others.at(7).InFlight == 1U);
-  BOOST_TEST(std::abs(Others.at(7).PrefillSeconds - 0.1) < 1e-9);
-}
-
-// What an upstream tells one gateway the others know a moment later.
-BOOST_AUTO_TEST_CASE(tells_loads_that_upstreams_told) {
+BOOST_AUTO_TEST_CASE(sums_the_latest_report_of_each_gateway) {
+  peer_work_totals Totals;
+  auto First = workReport(1, 1);
+  addWork(First, 7, 300, 2);
+  addWork(First, 8, 0, 1);
+  auto Second = workReport(2, 5);
+  addWork(Second, 7, 200, 1);
+  Totals.update(First, 0);
+  Totals.update(Second, 0);
+  BOOST_TEST(Totals.at(7).InFlight == 3U);
+  BOOST_TEST(std::abs(Totals.at(7).PrefillSeconds - 0.5) < 1e-9);
+  auto Later = workReport(1, 2);
+  addWork(Later, 7, 0, 1);
+  Totals.update(Later, 1);
+  Totals.update(First, 1); // Arrives out of order.
+  BOOST_TEST(Totals.at(7).InFlight == 2U);
+  BOOST_TEST(Totals.at(8).InFlight == 1U);
+  BOOST_TEST(Totals.at(9).InFlight == 0U);
+}
+
+BOOST_AUTO_TEST_CASE(is_repaired_by_a_full_report_after_a_lost_one) {
+  peer_work_totals Totals;
+  auto First = workReport(1, 1);
+  addWork(First, 7, 300, 2);
+  Totals.update(First, 0);
+  auto Complete = workReport(1, 3, true);
+  addWork(Complete, 8, 100, 1);
+  Totals.update(Complete, 1);
+  BOOST_TEST(Totals.at(7).InFlight == 0U);
+  BOOST_TEST(Totals.at(8).InFlight == 1U);
+}
+
+BOOST_AUTO_TEST_CASE(is_dropped_when_its_gateway_falls_silent) {
+  peer_work_totals Totals;
+  auto First = workReport(1, 1);
+  addWork(First, 7, 300, 2);
+  Totals.update(First, 0);
+  auto Second = workReport(2, 1);
+  addWork(Second, 7, 100, 1);
+  Totals.update(Second, 4);
+  Totals.forgetSilent(4.5);
+  BOOST_TEST(Totals.gateways() == 1U);
+  BOOST_TEST(Totals.at(7).InFlight == 1U);
+  BOOST_TEST(std::abs(Totals.at(7).PrefillSeconds - 0.1) < 1e-9);
+}
+
+// Guards against gateways that ignore load and crash reports of their peers: an
+// upstream reports its load to one gateway, which forwards it to the others.
+BOOST_AUTO_TEST_CASE(forwards_reported_loads_and_crashes) {
   struct ev_loop *Loop = ev_loop_new(0);
   upstream_table Table;
   Table.update({listed("i-1"), listed("i-2")}, 0);
   const upstream &Full = *Table.all().at("i-1");
   {
-    peer_work Tells(Loop, Table, {.Incarnation = 1, .Address = "127.0.0.1:0"});
-    peer_work Hears(Loop, Table, {.Incarnation = 2, .Address = "127.0.0.1:0"});
-    BOOST_REQUIRE(Tells.bind());
-    BOOST_REQUIRE(Hears.bind());
-    Tells.setGateways({Hears.address()});
-    Hears.setGateways({Tells.address()});
-    BOOST_TEST(Tells.receivesFromAll(2));
-    BOOST_TEST(!Tells.receivesFromAll(3));
-    std::map<uint64_t, uint32_t> Heard;
-    Hears.OnLoad = [&](uint64_t Place, uint32_t Load) { Heard[Place] = Load; };
-    Tells.reportLoad(Full, 0);
-    Tells.reportLoad(Full, 48);
-    while (Heard.empty())
+    peer_work Sender(Loop, Table, {.Incarnation = 1, .Address = "127.0.0.1:0"});
+    peer_work Receiver(Loop, Table,
+                       {.Incarnation = 2, .Address = "127.0.0.1:0"});
+    BOOST_REQUIRE(Sender.bind());
+    BOOST_REQUIRE(Receiver.bind());
+    Sender.setGateways({Receiver.address()});
+    Receiver.setGateways({Sender.address()});
+    BOOST_TEST(Sender.receivesFromAll(2));
+    BOOST_TEST(!Sender.receivesFromAll(3));
+    std::map<uint64_t, uint32_t> ReceivedLoads;
+    Receiver.OnLoad = [&](uint64_t Key, uint32_t Load) {
+      ReceivedLoads[Key] = Load;
+    };
+    Sender.reportLoad(Full, 0);
+    Sender.reportLoad(Full, 48);
+    while (ReceivedLoads.empty())
       ev_run(Loop, EVRUN_ONCE);
-    BOOST_TEST(Heard.size() == 1U);
-    BOOST_TEST(Heard[Full.Key] == 48U);
-    // And that it has ended, once.
-    std::vector<uint64_t> Ended;
-    Hears.OnCrash = [&](uint64_t Place) { Ended.push_back(Place); };
-    Heard.clear();
-    Tells.reportCrash(Full);
-    while (Ended.empty())
+    BOOST_TEST(ReceivedLoads.size() == 1U);
+    BOOST_TEST(ReceivedLoads[Full.Key] == 48U);
+    // A crash is forwarded too, exactly once.
+    std::vector<uint64_t> ReportedCrashes;
+    Receiver.OnCrash = [&](uint64_t Key) { ReportedCrashes.push_back(Key); };
+    ReceivedLoads.clear();
+    Sender.reportCrash(Full);
+    while (ReportedCrashes.empty())
       ev_run(Loop, EVRUN_ONCE);
-    Tells.reportLoad(Full, 1);
-    while (Heard.empty())
+    Sender.reportLoad(Full, 1);
+    while (ReceivedLoads.empty())
       ev_run(Loop, EVRUN_ONCE);
-    BOOST_TEST(Ended == std::vector<uint64_t>{Full.Key},
+    BOOST_TEST(ReportedCrashes == std::vector<uint64_t>{Full.Key},
                boost::test_tools::per_element());
   }
   ev_loop_destroy(Loop);
@@ -560,17 +572,17 @@
 BOOST_AUTO_TEST_SUITE(table_of_upstreams)
 
 BOOST_AUTO_TEST_CASE(
-    keeps_what_it_knows_of_an_incarnation_and_names_those_gone) {
+    keeps_counters_across_updates_and_returns_removed_upstreams) {
   upstream_table Table;
   Table.update({listed("i-1"), listed("i-2")}, 0);
   auto First = Table.all().at("i-1");
   First->InFlight = 3;
-  auto Left = Table.update({listed("i-1"), listed("i-3")}, 0);
-  BOOST_REQUIRE(Left.size() == 1U);
-  BOOST_TEST(Left[0]->Gone);
-  BOOST_TEST(!Left[0]->acceptsRequests(0));
+  auto Removed = Table.update({listed("i-1"), listed("i-3")}, 0);
+  BOOST_REQUIRE(Removed.size() == 1U);
+  BOOST_TEST(Removed[0]->Gone);
+  BOOST_TEST(!Removed[0]->acceptsRequests(0));
   BOOST_TEST(Table.all().at("i-1")->InFlight == 3U);
-  // Every gateway has the upstreams in the same order.
+  // All gateways order the upstreams equally, whatever the order of the list.
   upstream_table Other;
   Other.update({listed("i-3"), listed("i-1")}, 0);
   for (size_t I = 0; I < 2; ++I)
@@ -578,9 +590,10 @@
                Table.ofService("llm")[I]->Listed.Id);
 }
 
-// Each gateway that had to find out for itself which upstreams have ended sent
-// a request to each of them.
-BOOST_AUTO_TEST_CASE(passes_over_what_another_gateway_says_has_ended) {
+// Guards against every gateway losing a request to each crashed upstream:
+// without reports from its peers, a gateway notices a crash only by its own
+// failed request.
+BOOST_AUTO_TEST_CASE(avoids_upstreams_that_peers_report_crashed) {
   upstream_table Table;
   std::vector<platform::listed_upstream> Listed;
   for (int I = 0; I < 6; ++I)
@@ -594,9 +607,10 @@
   BOOST_TEST(Table.presumeCrashed(First->Key, 20));
   First->recordResponse();
   BOOST_TEST(!First->suspect(20.1));
-  BOOST_TEST(!Table.presumeCrashed(12345, 30)); // Of another list.
+  BOOST_TEST(!Table.presumeCrashed(12345, 30)); // Unknown key.
 
-  // Whoever says it of all is wrong, or no better is to be had.
+  // At most half of the upstreams may be suspects: a report that all crashed is
+  // wrong, or leaves no better choice.
   for (const auto &Each : Table.ofService("llm"))
     Table.presumeCrashed(Each->Key, 40);
   auto Suspects = std::count_if(
@@ -605,9 +619,10 @@
   BOOST_TEST(Suspects == 3);
 }
 
-// An upstream may start again under its id. It holds nothing of before then,
-// and what comes late of the start before must not count for it.
-BOOST_AUTO_TEST_CASE(knows_nothing_of_one_that_has_started_again) {
+// Guards against state carried over to a restarted upstream: it keeps its id
+// but has lost its cache and its requests, and late reports about the previous
+// incarnation must not apply to it.
+BOOST_AUTO_TEST_CASE(resets_state_when_an_upstream_restarts) {
   auto Started = [](uint64_t StartedMs, bool Leaving = false) {
     platform::listed_upstream Listed = listed("i-1");
     Listed.StartedMs = StartedMs;
@@ -619,53 +634,55 @@
   auto First = Table.all().at("i-1");
   First->recordFailure(0);
   First->recordLoad(7, 0);
-  // No start told, or the same: it is the same.
+  // With no start time, or the same one, it is the same incarnation.
   BOOST_TEST(Table.update({Started(0)}, 0).empty());
   BOOST_TEST(Table.update({Started(1000)}, 0).empty());
   BOOST_TEST((Table.all().at("i-1") == First));
 
-  auto Left = Table.update({Started(2000)}, 0);
-  BOOST_REQUIRE(Left.size() == 1U);
-  BOOST_TEST((Left[0] == First));
+  auto Removed = Table.update({Started(2000)}, 0);
+  BOOST_REQUIRE(Removed.size() == 1U);
+  BOOST_TEST((Removed[0] == First));
   BOOST_TEST(First->Gone);
   auto Second = Table.all().at("i-1");
   BOOST_TEST(Second->acceptsRequests(0));
   BOOST_TEST(!Second->unrecovered(0.1));
   BOOST_TEST(Second->load(0.1) == 0);
-  // Memory and told work go by the place.
+  // The prefix cache model and the reported work are stored by the key of the
+  // incarnation, so the new incarnation needs a different key.
   BOOST_TEST(Second->Key != First->Key);
   BOOST_TEST(Table.has(Second->Key));
   BOOST_TEST(!Table.has(First->Key));
 
-  // A list from before changes nothing back, also where it says that it leaves.
+  // A stale list does not restore the previous incarnation, nor does its
+  // leaving flag apply to the new one.
   BOOST_TEST(Table.update({Started(1000, true)}, 0).empty());
   BOOST_TEST((Table.all().at("i-1") == Second));
   BOOST_TEST(Second->acceptsRequests(0));
-  // Gateways that hear of it first now agree on its place.
+  // A gateway that first sees the upstream now computes the same key.
   upstream_table Other;
   Other.update({Started(2000)}, 0);
   BOOST_TEST(Other.all().at("i-1")->Key == Second->Key);
 }
 
-BOOST_AUTO_TEST_CASE(keeps_work_from_those_that_rest_until_their_time_is_over) {
+BOOST_AUTO_TEST_CASE(sends_nothing_to_upstreams_in_backoff) {
   upstream_table Table;
   Table.update({listed("i-1"), listed("i-2")}, 0);
   auto First = Table.all().at("i-1");
   const std::string &Service = First->Listed.Service;
   First->backOff(3, 10);
-  First->backOff(1, 11); // The longer one holds.
+  First->backOff(1, 11); // The longer backoff wins.
   BOOST_TEST(!First->acceptsRequests(12.9));
   BOOST_TEST(First->acceptsRequests(13));
-  BOOST_TEST_CONTEXT("and does not take them for failed") {
+  BOOST_TEST_CONTEXT("backoff does not count as a failure") {
     BOOST_TEST(!First->suspect(11));
     BOOST_TEST(!First->unrecovered(11));
   }
-  BOOST_TEST_CONTEXT("nor loses them to an absurd time") {
+  BOOST_TEST_CONTEXT("an excessive Retry-After is capped") {
     First->backOff(31536000, 20);
     BOOST_TEST(!First->acceptsRequests(21));
     BOOST_TEST(First->acceptsRequests(20 + 60));
   }
-  BOOST_TEST_CONTEXT("and knows when the first takes work again") {
+  BOOST_TEST_CONTEXT("the soonest end of a backoff is known") {
     BOOST_TEST(Table.soonestBackoffEnd(Service, 30) == 0);
     auto Second = Table.all().at("i-2");
     Second->backOff(5, 30);
@@ -675,13 +692,13 @@
     First->markLeaving();
     BOOST_TEST(Table.soonestBackoffEnd(Service, 31) == 0);
   }
-  BOOST_TEST_CONTEXT("also those that a later list names again") {
+  BOOST_TEST_CONTEXT("a leaving upstream stays so when a later list names it") {
     Table.update({listed("i-1"), listed("i-2")}, 0);
     BOOST_TEST(Table.all().at("i-1")->leaving());
   }
 }
 
-BOOST_AUTO_TEST_CASE(corrects_a_told_load_by_its_own_requests_since) {
+BOOST_AUTO_TEST_CASE(adjusts_reported_load_by_own_requests_since) {
   upstream Upstream;
   Upstream.InFlight = 2;
   BOOST_TEST(Upstream.load(10) == 2);
@@ -690,8 +707,8 @@
   Upstream.InFlight = 4;
   BOOST_TEST(Upstream.load(10.1) == 9);
   BOOST_TEST(Upstream.load(20) == 4);
-  // Of the requests that it told, those of gateways that are heard of count
-  // once.
+  // Requests of peer gateways that the reported load already includes are not
+  // counted twice.
   Upstream.recordLoad(12, 30, 5);
   BOOST_TEST(Upstream.load(30.1, 5) == 12);
   BOOST_TEST(Upstream.load(30.1, 7) == 14);
@@ -703,7 +720,7 @@
   BOOST_TEST(!Upstream.hasFreshLoad(33));
 }
 
-BOOST_AUTO_TEST_CASE(pauses_one_that_fails_longer_each_time) {
+BOOST_AUTO_TEST_CASE(suspects_a_failing_upstream_longer_each_time) {
   upstream Upstream;
   Upstream.recordFailure(0);
   BOOST_TEST(Upstream.suspect(0.4));
@@ -717,9 +734,9 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(software)
+BOOST_AUTO_TEST_SUITE(versions_during_a_rollout)
 
-BOOST_AUTO_TEST_CASE(of_a_session_stays_while_a_version_is_tried) {
+BOOST_AUTO_TEST_CASE(of_a_session_is_kept_during_a_canary) {
   upstream_table Upstreams;
   Upstreams.update({listed("i-1"), listed("i-2", "v2")}, 0);
   software_versions Versions;
@@ -735,7 +752,7 @@
   BOOST_TEST(Tried < 80);
 }
 
-BOOST_AUTO_TEST_CASE(moves_over_when_sound_and_gets_nothing_when_given_up) {
+BOOST_AUTO_TEST_CASE(moves_sessions_after_shift_and_back_after_revert) {
   upstream_table Upstreams;
   Upstreams.update({listed("i-1"), listed("i-2", "v2")}, 0);
   software_versions Versions;
@@ -749,7 +766,7 @@
   BOOST_TEST(Versions.revertedVersion("llm") == "v2");
 }
 
-BOOST_AUTO_TEST_CASE(tallies_are_told_by_version) {
+BOOST_AUTO_TEST_CASE(tallies_are_reported_per_version) {
   software_versions Versions;
   Versions.count("llm", "v1", false, 0.5);
   Versions.count("llm", "v1", true, 1);
@@ -764,7 +781,7 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_CASE(a_session_is_forgotten_some_time_after_its_last_request) {
+BOOST_AUTO_TEST_CASE(a_session_pin_expires_after_its_lifetime) {
   session_pins Pins;
   Pins.setLifetime(10);
   Pins.touch("llm", "s", {.Version = "v1"});
@@ -776,8 +793,7 @@
   BOOST_TEST(Pins.size() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(
-    sessions_that_must_stay_are_told_once_and_forgotten_later) {
+BOOST_AUTO_TEST_CASE(stable_pins_are_reported_once_and_expire) {
   session_pins Pins;
   Pins.setLifetime(10);
   Pins.pinToStable(7, 0);
--- a/tests/unit/http_test.cpp
+++ b/tests/unit/http_test.cpp
@@ -1,4 +1,4 @@
-//===- http_test.cpp - Messages byte for byte, and the platform's heads ---===//
+//===- http_test.cpp - HTTP messages, platform headers, upstream list -----===//
 
 #include "base/fields.h"
 #include "boost/test/unit_test.hpp"
@@ -30,7 +30,7 @@
                          "\r\n"
                          "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
 
-/// A reader and what it told.
+/// A reader and the body bytes that it has delivered.
 struct read_message {
   explicit read_message(http_side Side) : Reader(Side) {
     Reader.OnBody = [this](std::string_view Bytes) { Body.append(Bytes); };
@@ -50,7 +50,7 @@
 
 BOOST_AUTO_TEST_SUITE(http_messages)
 
-BOOST_AUTO_TEST_CASE(are_the_same_wherever_the_bytes_are_cut) {
+BOOST_AUTO_TEST_CASE(are_parsed_equally_wherever_the_bytes_are_cut) {
   std::string Two = Post + "GET / HTTP/1.1\r\n\r\n";
   for (size_t Cut = 0; Cut < Post.size(); ++Cut) {
     read_message Message(http_side::Request);
@@ -63,7 +63,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(that_two_readers_could_take_differently_are_errors) {
+BOOST_AUTO_TEST_CASE(that_allow_request_smuggling_are_refused) {
   const std::string Chunked = "Transfer-Encoding: chunked\r\n";
   const std::string Length = "Content-Length: 3\r\n";
   const std::string Start = "POST / HTTP/1.1\r\n";
@@ -91,10 +91,10 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(of_answers_end_by_length_chunks_or_connection) {
+BOOST_AUTO_TEST_CASE(with_a_truncated_response_body_are_not_complete) {
   struct answer_case {
     std::string Text;
-    bool DoneBefore; ///< Without the end of the connection.
+    bool DoneBefore; ///< Complete before the connection is closed.
     bool DoneAfter;
   };
   const answer_case Cases[] = {
@@ -117,7 +117,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(never_crash_their_reader) {
+BOOST_AUTO_TEST_CASE(with_random_bytes_do_not_crash_the_reader) {
   std::mt19937_64 Random(7);
   for (int I = 0; I < 20000; ++I) {
     std::string Text = Post;
@@ -140,9 +140,9 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(heads_of_the_platform)
+BOOST_AUTO_TEST_SUITE(platform_headers)
 
-BOOST_AUTO_TEST_CASE(say_what_a_caller_wants) {
+BOOST_AUTO_TEST_CASE(of_a_request_are_parsed) {
   platform::caller_facts Facts = platform::readCaller(headOf(Post));
   BOOST_TEST(Facts.AttemptId == "9c41d07be2a35f68");
   BOOST_TEST(*Facts.DeadlineSeconds == 25);
@@ -156,7 +156,7 @@
   BOOST_TEST(Facts.Model->PrefixBlocks[2].Tokens == 250U);
 }
 
-BOOST_AUTO_TEST_CASE(for_an_upstream_hold_only_what_the_system_says) {
+BOOST_AUTO_TEST_CASE(of_callers_and_connections_do_not_reach_an_upstream) {
   std::string Text = platform::writeRequestHead(headOf(Post),
                                                 {.Instance = "i-1",
                                                  .DeadlineSeconds = 1.25,
@@ -167,28 +167,28 @@
                                                  .SendPriority = true},
                                                 5);
   http_head Head = headOf(Text + "abcde");
-  auto Is = [&](const char *Name, const char *Value) {
+  auto ExpectHeader = [&](const char *Name, const char *Value) {
     const std::string *Found = Head.find(Name);
     BOOST_TEST_CONTEXT(Name)
     BOOST_TEST((Found ? *Found : "(none)") == Value);
   };
   BOOST_TEST(Head.Target == "/lohu930/2f?a=%2e");
-  Is("Host", "ficu95.example");
-  Is("X-Attempt-Id", "9c41d07be2a35f68");
-  Is("X-Odd", "kept  as is");
-  Is("X-Model", "large");
-  Is("X-Tenant", "hule930");
-  Is("X-Expect-Instance", "i-1");
-  Is("X-Deadline-Ms", "1250");
-  Is("Last-Event-Id", "12");
-  Is("X-Request-Priority", "1");
-  Is("Content-Length", "5");
+  ExpectHeader("Host", "ficu95.example");
+  ExpectHeader("X-Attempt-Id", "9c41d07be2a35f68");
+  ExpectHeader("X-Odd", "kept  as is");
+  ExpectHeader("X-Model", "large");
+  ExpectHeader("X-Tenant", "hule930");
+  ExpectHeader("X-Expect-Instance", "i-1");
+  ExpectHeader("X-Deadline-Ms", "1250");
+  ExpectHeader("Last-Event-Id", "12");
+  ExpectHeader("X-Request-Priority", "1");
+  ExpectHeader("Content-Length", "5");
   for (const char *Name : {"X-Credential", "X-Kv-Hold", "Connection", "X-Mine",
                            "Transfer-Encoding"})
-    Is(Name, "(none)");
+    ExpectHeader(Name, "(none)");
 }
 
-BOOST_AUTO_TEST_CASE(tell_of_an_answer_whether_its_request_has_run) {
+BOOST_AUTO_TEST_CASE(show_whether_the_request_was_executed) {
   auto Facts = [](const std::string &Text) {
     read_message Message(http_side::Answer);
     Message.Reader.feed(Text);
@@ -210,19 +210,19 @@
   BOOST_TEST(!Facts("HTTP/1.1 200 OK\r\nX-Server-Load: 3,x\r\n\r\n").Load);
 }
 
-BOOST_AUTO_TEST_CASE(tell_what_the_upstream_wants_from_now_on) {
+BOOST_AUTO_TEST_CASE(carry_retry_after_and_leaving_of_the_upstream) {
   auto Facts = [](const std::string &Start, const std::string &Lines) {
     read_message Message(http_side::Answer);
     Message.Reader.feed("HTTP/1.1 " + Start + "\r\n" + Lines +
                         "Content-Length: 0\r\n\r\n");
     return platform::readAnswer(Message.Reader.head());
   };
-  struct rest_case {
+  struct backoff_case {
     std::string Lines;
-    double Seconds; ///< -1: none.
+    double Seconds; ///< -1: no valid Retry-After.
     std::string Odd;
   };
-  const rest_case Cases[] = {
+  const backoff_case Cases[] = {
       {"", -1, ""},
       {"Retry-After: 3\r\n", 3, ""},
       {"retry-after: 0.25\r\n", 0.25, ""},
@@ -238,11 +238,11 @@
       {"Retry-After: Fri, 04 Dec 2026 08:00:00 GMT\r\n", -1,
        "Fri, 04 Dec 2026 08:00:00 GMT"},
   };
-  for (const rest_case &Case : Cases)
+  for (const backoff_case &Case : Cases)
     BOOST_TEST_CONTEXT(Case.Lines) {
-      auto Told = Facts("503 Busy", Case.Lines);
-      BOOST_TEST(Told.BackoffSeconds.value_or(-1) == Case.Seconds);
-      BOOST_TEST(Told.MalformedRetryAfter == Case.Odd);
+      auto Parsed = Facts("503 Busy", Case.Lines);
+      BOOST_TEST(Parsed.BackoffSeconds.value_or(-1) == Case.Seconds);
+      BOOST_TEST(Parsed.MalformedRetryAfter == Case.Odd);
     }
   BOOST_TEST(!Facts("200 OK", "Retry-After: 3\r\n").BackoffSeconds);
   BOOST_TEST(!Facts("421 Other", "Retry-After: 3\r\n").BackoffSeconds);
@@ -256,7 +256,7 @@
 
 BOOST_AUTO_TEST_SUITE(list_of_upstreams)
 
-BOOST_AUTO_TEST_CASE(is_read_page_by_page) {
+BOOST_AUTO_TEST_CASE(is_parsed_page_by_page) {
   auto Page = platform::readUpstreamPage(
       R"({"upstreams":[{"service":"huvo11a","address":"10.128.0.9:8080",)"
       R"("data_hall":"hall-laval","version":"v1","slots":128,)"
@@ -273,7 +273,7 @@
   BOOST_TEST(Last->NextPage.empty());
 }
 
-BOOST_AUTO_TEST_CASE(that_cannot_be_read_is_no_list) {
+BOOST_AUTO_TEST_CASE(that_is_malformed_is_refused) {
   for (const char *Text : {"", "[]", "{\"upstreams\":3}", "{}",
                            "{\"upstreams\":[{]", R"({"upstreams":[{"id":"x"},)",
                            R"({"upstreams":[{"id":"x"}],"next_pa)"})
@@ -282,7 +282,7 @@
 
 namespace {
 
-json goodEntry(const std::string &Id) {
+json validEntry(const std::string &Id) {
   return {{"id", Id},           {"service", "llm"}, {"address", "10.0.0.1:80"},
           {"data_hall", "lac"}, {"version", "v1"},  {"slots", 8},
           {"state", "ready"},   {"cold_ms", 0}};
@@ -297,7 +297,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(holds_the_others_when_one_entry_is_odd) {
+BOOST_AUTO_TEST_CASE(keeps_valid_entries_beside_a_malformed_one) {
   std::vector<std::string> Odd = {"7",
                                   "null",
                                   "\"text\"",
@@ -325,7 +325,7 @@
       {"born", {-1, 1.5, "1760000000000", 1e300}},
   };
   for (const odd_field &Field : Fields) {
-    json Entry = goodEntry("odd");
+    json Entry = validEntry("odd");
     if (std::string(Field.Name) != "born") {
       Entry.erase(Field.Name);
       Odd.push_back(Entry.dump());
@@ -338,7 +338,7 @@
   for (const std::string &Each : Odd)
     BOOST_TEST_CONTEXT(Each) {
       auto Page = platform::readUpstreamPage(
-          pageOf({goodEntry("a").dump(), Each, goodEntry("b").dump()}));
+          pageOf({validEntry("a").dump(), Each, validEntry("b").dump()}));
       BOOST_REQUIRE(Page.ok());
       BOOST_REQUIRE(Page->Upstreams.size() == 2U);
       BOOST_TEST(Page->Upstreams[0].Id == "a");
@@ -351,7 +351,7 @@
 
 BOOST_AUTO_TEST_CASE(survives_random_bytes) {
   std::mt19937_64 Random(9);
-  std::string Good = pageOf({goodEntry("a").dump(), goodEntry("b").dump()});
+  std::string Good = pageOf({validEntry("a").dump(), validEntry("b").dump()});
   constexpr int Rounds = 20000;
   int Read = 0;
   for (int Round = 0; Round < Rounds; ++Round) {
@@ -368,7 +368,7 @@
   BOOST_TEST(Read > Rounds / 2);
 }
 
-BOOST_AUTO_TEST_CASE(holds_one_of_those_that_share_an_id) {
+BOOST_AUTO_TEST_CASE(keeps_one_of_the_entries_with_the_same_id) {
   auto Of = [](uint64_t StartedMs, bool Leaving, const char *Address) {
     return platform::listed_upstream{.Id = "x",
                                      .Address = Address,
@@ -382,10 +382,13 @@
     const char *Kept;
   };
   const pair_case Cases[] = {
-      {"the later start", Of(5, false, "a"), Of(9, false, "b"), "b"},
-      {"though it came first", Of(9, false, "a"), Of(5, true, "b"), "a"},
-      {"the one that leaves", Of(5, false, "a"), Of(5, true, "b"), "b"},
-      {"else the first", Of(0, false, "a"), Of(0, false, "b"), "a"},
+      {"the later start is kept", Of(5, false, "a"), Of(9, false, "b"), "b"},
+      {"the later start is kept although it is listed first", Of(9, false, "a"),
+       Of(5, true, "b"), "a"},
+      {"at the same start, the leaving one is kept", Of(5, false, "a"),
+       Of(5, true, "b"), "b"},
+      {"otherwise the first is kept", Of(0, false, "a"), Of(0, false, "b"),
+       "a"},
   };
   for (const pair_case &Case : Cases)
     BOOST_TEST_CONTEXT(Case.What) {
--- a/tests/unit/input_test.cpp
+++ b/tests/unit/input_test.cpp
@@ -11,8 +11,8 @@
 
 using namespace olivevalve;
 
-// Random and broken bytes on every parser: nothing may crash. The seeds are
-// fixed, so each run is the same.
+// Guards against input that crashes a parser: feeds random and damaged bytes to
+// every parser. The seeds are fixed, so that each run is the same.
 BOOST_AUTO_TEST_SUITE(bad_input)
 
 std::string mutate(std::string Bytes, std::mt19937_64 &Random) {
@@ -36,12 +36,12 @@
   return Bytes;
 }
 
-BOOST_AUTO_TEST_CASE(never_crashes_a_parser) {
+BOOST_AUTO_TEST_CASE(does_not_crash_a_parser) {
   google::protobuf::SetLogHandler(nullptr);
   std::mt19937_64 Random(42);
   catalog Config = smallCatalog();
-  wire::config_delta Whole;
-  Config.fillDelta(0, Whole);
+  wire::config_delta FullDelta;
+  Config.fillDelta(0, FullDelta);
   state_machine State;
   State.apply(1, commandText([](wire::command &Command) {
                 *Command.mutable_change() =
@@ -74,7 +74,7 @@
     if (I % 20)
       continue;
     wire::config_delta Delta;
-    if (Delta.ParseFromString(mutate(Whole.SerializeAsString(), Random))) {
+    if (Delta.ParseFromString(mutate(FullDelta.SerializeAsString(), Random))) {
       catalog Copy;
       Copy.applyDelta(Delta);
     }
@@ -82,7 +82,8 @@
     Copy.restore(mutate(State.image(), Random));
     Copy.apply(5, mutate(State.image(), Random));
   }
-  // Some mutations leave a good document, or nothing was parsed at all.
+  // Some mutations leave a valid document. If none does, the parsers reject
+  // everything and the test shows nothing.
   BOOST_TEST(Accepted > 100);
 }
 
--- a/tests/unit/leases_test.cpp
+++ b/tests/unit/leases_test.cpp
@@ -1,4 +1,4 @@
-//===- leases_test.cpp - A node's copy, the leader's view -----------------===//
+//===- leases_test.cpp - Configuration leases at nodes and the leader -----===//
 
 #include "base/digest.h"
 #include "boost/test/unit_test.hpp"
@@ -8,7 +8,7 @@
 
 using namespace olivevalve;
 
-BOOST_AUTO_TEST_SUITE(a_nodes_copy)
+BOOST_AUTO_TEST_SUITE(configuration_of_a_node)
 
 wire::grant grantOf(const catalog &Config, uint64_t Since, double SentAt) {
   wire::grant Grant;
@@ -18,7 +18,7 @@
   return Grant;
 }
 
-BOOST_AUTO_TEST_CASE(follows_deltas_and_never_goes_back) {
+BOOST_AUTO_TEST_CASE(applies_deltas_and_rejects_older_grants) {
   catalog Config = smallCatalog();
   wire::grant Old = grantOf(Config, 0, 10);
   config_replica Copy;
@@ -43,7 +43,7 @@
   BOOST_TEST(Copy.leaseEnd() < 17.1);
 }
 
-BOOST_AUTO_TEST_CASE(gets_no_lease_from_a_grant_that_was_long_on_the_way) {
+BOOST_AUTO_TEST_CASE(gets_no_lease_from_a_delayed_grant) {
   config_replica Copy;
   Copy.applyGrant(grantOf(smallCatalog(), 0, 10), 30);
   BOOST_TEST(!Copy.hasLease(30));
@@ -51,7 +51,7 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(the_leaders_view)
+BOOST_AUTO_TEST_SUITE(leases_at_the_leader)
 
 wire::renew renewOf(const std::string &Node, uint64_t Index) {
   wire::renew Renew;
@@ -62,7 +62,7 @@
   return Renew;
 }
 
-BOOST_AUTO_TEST_CASE(waits_for_every_lease_that_lacks_the_change) {
+BOOST_AUTO_TEST_CASE(hold_up_a_change_until_renewed_or_expired) {
   node_table Table;
   Table.reset(0);
   double Now = 100;
@@ -70,20 +70,21 @@
     Table.recordRenewal(Node, renewOf(Node, 4), Now);
     Table.recordGrant(Node, Now);
   }
-  double Took = -1;
-  Table.awaitInForce(5, Now, [&](double Seconds) { Took = Seconds; });
+  double WaitedSeconds = -1;
+  Table.awaitInForce(5, Now, [&](double Seconds) { WaitedSeconds = Seconds; });
   Table.recordRenewal("a", renewOf("a", 5), Now + 1);
   Table.releaseLease("b");
   Table.poll(Now + 1);
-  BOOST_TEST(Took < 0);
-  // The silent one holds the change up until its lease has surely ended.
+  BOOST_TEST(WaitedSeconds < 0);
+  // Node c does not renew, so the change waits until its lease has expired by
+  // any clock within the allowed drift.
   Table.poll(Now + LeaseSeconds * 0.99);
-  BOOST_TEST(Took < 0);
+  BOOST_TEST(WaitedSeconds < 0);
   Table.poll(Now + LeaseSeconds * (1 + 2 * MaxClockDrift));
-  BOOST_TEST(Took > LeaseSeconds);
+  BOOST_TEST(WaitedSeconds > LeaseSeconds);
 }
 
-BOOST_AUTO_TEST_CASE(a_new_leader_waits_for_leases_it_does_not_know) {
+BOOST_AUTO_TEST_CASE(of_a_previous_leader_hold_up_a_change) {
   node_table Table;
   Table.reset(100);
   bool Done = false;
@@ -94,10 +95,12 @@
   BOOST_TEST(Done);
 }
 
-// What a bad version may answer is held to a count. Three entries that renew
-// one after the other were granted 1.8 times that count by a new leader.
-BOOST_AUTO_TEST_CASE(a_new_leader_grants_no_allowance_twice) {
-  constexpr double Whole = 12;
+// Guards against a new leader that exceeds the allowance of a new version, the
+// number of requests that it may answer. If each grant were divided by the
+// entries known so far, three entries that renew one after the other would
+// together get 1.8 times the allowance.
+BOOST_AUTO_TEST_CASE(of_a_new_leader_do_not_exceed_the_allowance) {
+  constexpr double Allowance = 12;
   node_table Table;
   Table.reset(100);
   double Granted = 0;
@@ -106,13 +109,13 @@
     Renew.set_role("entry");
     Table.recordRenewal(Node, Renew, 101);
     Table.recordGrant(Node, 101);
-    Granted += Table.perEntry(Whole, 101);
+    Granted += Table.perEntry(Allowance, 101);
   }
-  BOOST_TEST(Granted <= Whole);
-  BOOST_TEST(Table.perEntry(Whole, 106.5) == Whole / 3);
+  BOOST_TEST(Granted <= Allowance);
+  BOOST_TEST(Table.perEntry(Allowance, 106.5) == Allowance / 3);
 }
 
-BOOST_AUTO_TEST_CASE(shares_limits_by_demand) {
+BOOST_AUTO_TEST_CASE(share_limits_by_demand) {
   node_table Table;
   Table.reset(0);
   for (auto [Node, Rate] : {std::pair{"a", 30.0}, {"b", 10.0}}) {
--- a/tests/unit/load_test.cpp
+++ b/tests/unit/load_test.cpp
@@ -1,8 +1,8 @@
-//===- load_test.cpp - What callers get of the decisions under load -------===//
+//===- load_test.cpp - Routing decisions under simulated load -------------===//
 //
-// Upstreams that read prompts one after the other and keep them, as a queue in
-// simulated time, under the real decisions of a gateway. Checks what callers
-// get, not how it came about.
+// Simulates upstreams that prefill prompts one after the other and cache them,
+// driven by the real decision functions of a gateway. Checks what callers get
+// (answers in time and good answers), not the single decisions.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,49 +19,50 @@
 
 namespace {
 
-constexpr double SmallPace = 8e-6; // Seconds for a token read.
-constexpr double LargeTimes = 10;  // The largest model's time beside that.
-constexpr double LargeCost = 0.12; // For 1,000 tokens made.
+constexpr double SmallSecondsPerToken = 8e-6; // Prefill seconds per token.
+constexpr double LargeSlowdown = 10;          // Slowdown of the largest model.
+constexpr double LargeCost = 0.12;            // Per 1,000 output tokens.
 constexpr double TargetSeconds = 4;
 constexpr uint32_t SharedTokens = 13300;
-constexpr uint32_t OwnTokens = 3700;
+constexpr uint32_t SuffixTokens = 3700;
 constexpr uint32_t MadeTokens = 120;
-constexpr double SmallIsGood = 0.54;
+constexpr double SmallGoodShare = 0.54;
 
 struct load_options {
   size_t Upstreams = 12;
-  uint64_t Subjects = 50; ///< Shared parts.
+  uint64_t Subjects = 50; ///< Number of distinct shared prefixes.
   double PerSecond = 10;
   double Seconds = 200;
-  bool KnowsMemory = true;
-  bool HeedsBacklog = true; ///< Before it asks the largest model.
+  bool TracksPrefixCache = true;
+  /// Considers the backlog before a request goes to the largest model.
+  bool ConsidersBacklog = true;
 };
 
 struct load_result {
   size_t Requests = 0;
   size_t InTime = 0;
-  size_t Good = 0; ///< In time, and by a model that could answer.
+  size_t Good = 0; ///< In time, and from a model able to answer.
   uint64_t Read = 0;
 
   double inTime() const { return double(InTime) / double(Requests); }
   double good() const { return double(Good) / double(Requests); }
 };
 
-/// One upstream: reads in order; the time when it is through with all it has.
-struct played_upstream {
+/// A simulated upstream that prefills prompts in order of arrival.
+struct simulated_upstream {
   std::string Id;
-  double FreeAt = 0;
-  prefix_cache_model Kept; ///< What it really keeps.
+  double FreeAt = 0;         ///< Time at which its queue is empty.
+  prefix_cache_model Cached; ///< Its actual prefix cache.
 };
 
-class played_load {
+class load_simulation {
 public:
-  explicit played_load(load_options Options) : Options(Options) {
+  explicit load_simulation(load_options Options) : Options(Options) {
     for (size_t I = 0; I < Options.Upstreams; ++I)
       Upstreams.push_back({.Id = "upstream-" + std::to_string(I)});
   }
 
-  load_result play() {
+  load_result run() {
     std::exponential_distribution<double> Pause(Options.PerSecond);
     for (Now = Pause(Random); Now < Options.Seconds; Now += Pause(Random))
       request();
@@ -72,12 +73,12 @@
   static constexpr size_t Small = 0;
   static constexpr size_t Large = 1;
 
-  static double paceOf(size_t Model) {
-    return SmallPace * (Model == Large ? LargeTimes : 1);
+  static double secondsPerToken(size_t Model) {
+    return SmallSecondsPerToken * (Model == Large ? LargeSlowdown : 1);
   }
 
-  double waitAt(size_t Place) const {
-    return std::max(0.0, Upstreams[Place].FreeAt - Now);
+  double waitAt(size_t Index) const {
+    return std::max(0.0, Upstreams[Index].FreeAt - Now);
   }
 
   double meanBacklog() const {
@@ -87,90 +88,98 @@
     return Sum / double(Upstreams.size());
   }
 
-  size_t choose(size_t Model, const std::vector<prompt_block> &Pieces) {
+  size_t choose(size_t Model, const std::vector<prompt_block> &Blocks) {
     std::vector<upstream_view> Views;
-    double Whole = paceOf(Model) * (SharedTokens + OwnTokens);
+    double FullPrefillSeconds =
+        secondsPerToken(Model) * (SharedTokens + SuffixTokens);
     for (size_t I = 0; I < Upstreams.size(); ++I) {
-      uint32_t Kept = Options.KnowsMemory ? Memory.cachedTokens(I, Pieces) : 0;
+      uint32_t Cached =
+          Options.TracksPrefixCache ? PrefixCaches.cachedTokens(I, Blocks) : 0;
       Views.push_back({.Id = Upstreams[I].Id,
                        .Slots = 64,
                        .SameHall = true,
                        .PrefillSeconds = waitAt(I),
-                       .UncachedPrefillSeconds = Whole - paceOf(Model) * Kept});
+                       .UncachedPrefillSeconds = FullPrefillSeconds -
+                                      secondsPerToken(Model) * Cached});
     }
-    prompt_view Prompt{.PrefillSeconds = Whole};
-    if (Options.KnowsMemory) {
-      Prompt.SharedPrefillSeconds = paceOf(Model) * SharedTokens;
-      Prompt.SharedPrefixKey = Pieces.front().Key;
+    prompt_view Prompt{.PrefillSeconds = FullPrefillSeconds};
+    if (Options.TracksPrefixCache) {
+      Prompt.SharedPrefillSeconds = secondsPerToken(Model) * SharedTokens;
+      Prompt.SharedPrefixKey = Blocks.front().Key;
     }
     return *chooseEarliestFirstToken(Views, Prompt, Random);
   }
 
-  /// Returns when the first token comes.
-  double send(size_t Place, size_t Model,
-              const std::vector<prompt_block> &Pieces) {
-    played_upstream &Upstream = Upstreams[Place];
+  /// Returns the time of the first token.
+  double send(size_t Index, size_t Model,
+              const std::vector<prompt_block> &Blocks) {
+    simulated_upstream &Upstream = Upstreams[Index];
     uint32_t Tokens =
-        SharedTokens + OwnTokens - Upstream.Kept.cachedTokens(0, Pieces);
+        SharedTokens + SuffixTokens - Upstream.Cached.cachedTokens(0, Blocks);
     Result.Read += Tokens;
-    Upstream.FreeAt = std::max(Now, Upstream.FreeAt) + paceOf(Model) * Tokens;
-    Upstream.Kept.addPrompt(0, Pieces);
-    Memory.addPrompt(Place, Pieces);
+    Upstream.FreeAt =
+        std::max(Now, Upstream.FreeAt) + secondsPerToken(Model) * Tokens;
+    Upstream.Cached.addPrompt(0, Blocks);
+    PrefixCaches.addPrompt(Index, Blocks);
     return Upstream.FreeAt;
   }
 
-  std::vector<prompt_block> piecesFor(size_t Model, uint64_t Subject) {
+  std::vector<prompt_block> blocksFor(size_t Model, uint64_t Subject) {
     uint64_t Key = (Subject + 1) * 2 + Model;
     return {{.Key = Key, .Tokens = SharedTokens},
-            {.Key = ++Owns << 20, .Tokens = OwnTokens}};
+            {.Key = ++SuffixCount << 20, .Tokens = SuffixTokens}};
   }
 
   void request() {
     ++Result.Requests;
     uint64_t Subject = Random() % Options.Subjects;
-    std::uniform_real_distribution<double> Hardness(0, 1);
-    bool SmallGood = Hardness(Random) < SmallIsGood;
+    std::uniform_real_distribution<double> Difficulty(0, 1);
+    bool SmallGood = Difficulty(Random) < SmallGoodShare;
     std::normal_distribution<double> Noise(SmallGood ? 0.75 : 0.25, 0.15);
-    auto Pieces = piecesFor(Small, Subject);
-    double First = send(choose(Small, Pieces), Small, Pieces);
-    request_size Size{.InputTokens = SharedTokens + OwnTokens,
+    auto Blocks = blocksFor(Small, Subject);
+    double First = send(choose(Small, Blocks), Small, Blocks);
+    request_size Size{.InputTokens = SharedTokens + SuffixTokens,
                       .OutputTokens = MadeTokens,
                       .Priority = 1};
-    Earnings.add(utilityOf(Size), SmallPace * (SharedTokens + OwnTokens));
-    // The larger model is weighed when the first one's token comes; nothing
-    // that arrives until then is left out by looking at it now.
-    Pieces = piecesFor(Large, Subject);
-    size_t Place = choose(Large, Pieces);
-    double Read = paceOf(Large) * (SharedTokens + OwnTokens -
-                                   Memory.cachedTokens(Place, Pieces));
-    double Backlog = Options.HeedsBacklog ? meanBacklog() : 0;
-    Works.add(Read);
-    auto Larger = largerModel(
-        {.ModelCount = 2,
-         .ModelIndex = Small,
-         .Confidence = std::clamp(Noise(Random), 0.0, 1.0),
-         .Size = Size,
-         .LargestCost = LargeCost,
-         .LargestSeconds = Read,
-         .OpportunityCostPerSecond = opportunityCostPerSecond(
-             Earnings.perSecond(), Backlog, Works.residualSeconds()),
-         .InTime =
-             !Options.HeedsBacklog || waitAt(Place) + Read < TargetSeconds});
+    UtilityRates.add(utilityOf(Size),
+                        SmallSecondsPerToken * (SharedTokens + SuffixTokens));
+    // A gateway weighs the larger model when the small model's first token
+    // comes. The simulation does so at once, which leaves out nothing that
+    // arrives until then.
+    Blocks = blocksFor(Large, Subject);
+    size_t Index = choose(Large, Blocks);
+    double Read = secondsPerToken(Large) * (SharedTokens + SuffixTokens -
+                                            PrefixCaches.cachedTokens(Index, Blocks));
+    double Backlog = Options.ConsidersBacklog ? meanBacklog() : 0;
+    ProcessingTimes.add(Read);
+    auto Larger =
+        largerModel({.ModelCount = 2,
+                     .ModelIndex = Small,
+                     .Confidence = std::clamp(Noise(Random), 0.0, 1.0),
+                     .Size = Size,
+                     .LargestCost = LargeCost,
+                     .LargestSeconds = Read,
+                     .OpportunityCostPerSecond = opportunityCostPerSecond(
+                         UtilityRates.perSecond(), Backlog,
+                         ProcessingTimes.residualSeconds()),
+                     .InTime = !Options.ConsidersBacklog ||
+                               waitAt(Index) + Read < TargetSeconds});
     if (Larger)
-      First = std::max(First, send(Place, Large, Pieces));
+      First = std::max(First, send(Index, Large, Blocks));
     bool InTime = First < Now + TargetSeconds;
     Result.InTime += InTime ? 1 : 0;
     Result.Good += InTime && (SmallGood || Larger) ? 1 : 0;
   }
 
   load_options Options;
-  std::vector<played_upstream> Upstreams;
-  prefix_cache_model Memory; ///< What the gateway knows.
-  utility_rate Earnings;
-  processing_time_stats Works;
+  std::vector<simulated_upstream> Upstreams;
+  prefix_cache_model
+      PrefixCaches; ///< The gateway's model of the prefix caches.
+  utility_rate UtilityRates;
+  processing_time_stats ProcessingTimes;
   std::mt19937_64 Random{11};
   double Now = 0;
-  uint64_t Owns = 0;
+  uint64_t SuffixCount = 0;
   load_result Result;
 };
 
@@ -178,45 +187,46 @@
 
 BOOST_AUTO_TEST_SUITE(decisions_under_load)
 
-BOOST_AUTO_TEST_CASE(read_shared_parts_once_not_everywhere) {
-  load_result Knows = played_load({.PerSecond = 6}).play();
-  load_result Blind =
-      played_load({.PerSecond = 6, .KnowsMemory = false}).play();
-  BOOST_TEST(Knows.Read * 2 < Blind.Read);
-  BOOST_TEST(Knows.good() > 0.9);
-  BOOST_TEST(Knows.good() > Blind.good());
+BOOST_AUTO_TEST_CASE(do_not_prefill_shared_prefixes_on_every_upstream) {
+  load_result Tracking = load_simulation({.PerSecond = 6}).run();
+  load_result Untracked =
+      load_simulation({.PerSecond = 6, .TracksPrefixCache = false}).run();
+  BOOST_TEST(Tracking.Read * 2 < Untracked.Read);
+  BOOST_TEST(Tracking.good() > 0.9);
+  BOOST_TEST(Tracking.good() > Untracked.good());
 }
 
-BOOST_AUTO_TEST_CASE(keep_to_the_target_at_six_times_the_load) {
+BOOST_AUTO_TEST_CASE(meet_the_latency_target_at_six_times_the_load) {
   for (double PerSecond : {10.0, 20.0, 40.0, 60.0}) {
-    load_result Heeds = played_load({.PerSecond = PerSecond}).play();
-    load_result Heedless =
-        played_load({.PerSecond = PerSecond, .HeedsBacklog = false}).play();
-    BOOST_TEST(Heeds.inTime() > 0.9);
-    // No worse than never to ask the largest model.
-    BOOST_TEST(Heeds.good() > 0.9 * SmallIsGood);
-    BOOST_TEST(Heeds.good() > Heedless.good() - 0.01);
+    load_result Considering = load_simulation({.PerSecond = PerSecond}).run();
+    load_result Ignoring =
+        load_simulation({.PerSecond = PerSecond, .ConsidersBacklog = false})
+            .run();
+    BOOST_TEST(Considering.inTime() > 0.9);
+    // No worse than a gateway that never uses the largest model.
+    BOOST_TEST(Considering.good() > 0.9 * SmallGoodShare);
+    BOOST_TEST(Considering.good() > Ignoring.good() - 0.01);
   }
 }
 
-BOOST_AUTO_TEST_CASE(leave_the_largest_model_when_prompts_wait) {
-  // Asked at any doubt it fills all upstreams: one answer in a hundred begins
-  // within the target.
-  load_result Heeds = played_load({.PerSecond = 60}).play();
-  load_result Heedless =
-      played_load({.PerSecond = 60, .HeedsBacklog = false}).play();
-  BOOST_TEST(Heeds.good() > 0.8);
-  BOOST_TEST(Heedless.good() < 0.2);
+BOOST_AUTO_TEST_CASE(do_not_overload_upstreams_with_the_largest_model) {
+  // If every low-confidence answer escalates to the largest model, its prefill
+  // work fills all upstreams and one answer in a hundred begins in time.
+  load_result Considering = load_simulation({.PerSecond = 60}).run();
+  load_result Ignoring =
+      load_simulation({.PerSecond = 60, .ConsidersBacklog = false}).run();
+  BOOST_TEST(Considering.good() > 0.8);
+  BOOST_TEST(Ignoring.good() < 0.2);
 }
 
-BOOST_AUTO_TEST_CASE(serve_on_when_a_quarter_of_the_upstreams_is_left) {
-  load_result Few = played_load({.Upstreams = 3, .PerSecond = 10}).play();
+BOOST_AUTO_TEST_CASE(meet_the_latency_target_with_a_quarter_of_the_upstreams) {
+  load_result Few = load_simulation({.Upstreams = 3, .PerSecond = 10}).run();
   BOOST_TEST(Few.inTime() > 0.9);
-  BOOST_TEST(Few.good() > SmallIsGood);
+  BOOST_TEST(Few.good() > SmallGoodShare);
 }
 
-BOOST_AUTO_TEST_CASE(copy_a_shared_part_that_all_ask_for) {
-  load_result Hot = played_load({.Subjects = 1, .PerSecond = 30}).play();
+BOOST_AUTO_TEST_CASE(replicate_a_shared_prefix_that_all_requests_use) {
+  load_result Hot = load_simulation({.Subjects = 1, .PerSecond = 30}).run();
   BOOST_TEST(Hot.inTime() > 0.95);
   BOOST_TEST(Hot.good() > 0.8);
 }
--- a/tests/unit/main.cpp
+++ b/tests/unit/main.cpp
@@ -1,4 +1,4 @@
-//===- main.cpp - The pure parts, a file for each group -------------------===//
+//===- main.cpp - Unit tests of parts that need no daemon -----------------===//
 
 #define BOOST_TEST_MODULE unit
 #include "boost/test/unit_test.hpp"
--- a/tests/unit/placement_test.cpp
+++ b/tests/unit/placement_test.cpp
@@ -14,47 +14,48 @@
 
 /// Replicas in three data halls with room for two versions each.
 placement_input fleet(size_t Replicas) {
-  placement_input Question;
+  placement_input Input;
   for (size_t I = 0; I < Replicas; ++I)
-    Question.Replicas.push_back({.Name = "r" + std::to_string(I),
-                                 .DataHall = "hall-" + std::to_string(I % 3),
-                                 .MaxLoadedVersions = 2,
-                                 .Models = {"m"}});
-  return Question;
+    Input.Replicas.push_back({.Name = "r" + std::to_string(I),
+                              .DataHall = "hall-" + std::to_string(I % 3),
+                              .MaxLoadedVersions = 2,
+                              .Models = {"m"}});
+  return Input;
 }
 
-size_t copies(const placement_input &Question, const version_name &Name) {
+size_t copies(const placement_input &Input, const version_name &Name) {
   size_t Count = 0;
-  for (const placed_replica &R : Question.Replicas)
+  for (const placed_replica &R : Input.Replicas)
     Count += R.Usable && R.Assigned.contains(Name) ? 1 : 0;
   return Count;
 }
 
-size_t loading(const placement_input &Question) {
+size_t loading(const placement_input &Input) {
   size_t Count = 0;
-  for (const placed_replica &R : Question.Replicas)
+  for (const placed_replica &R : Input.Replicas)
     for (const version_name &Name : R.Assigned)
       Count += R.Usable && !R.Loaded.contains(Name) ? 1 : 0;
   return Count;
 }
 
-/// Takes steps, and loads what is assigned when there is none to take, until
-/// nothing changes any more. Returns the steps it took.
-size_t settle(placement_input &Question) {
+/// Applies placement steps until there are none and all assigned versions are
+/// loaded. Loads complete whenever no step can be taken. Returns the number of
+/// steps.
+size_t runToConvergence(placement_input &Input) {
   for (size_t Steps = 0; Steps < 200;) {
-    if (auto Step = nextPlacement(Question)) {
+    if (auto Step = nextPlacement(Input)) {
       ++Steps;
-      Question.Replicas[Step->Replica].Assigned = Step->Assigned;
+      Input.Replicas[Step->Replica].Assigned = Step->Assigned;
       BOOST_TEST(Step->Assigned.size() <= 2);
-      BOOST_TEST(loading(Question) <= Question.MaxConcurrentLoads);
+      BOOST_TEST(loading(Input) <= Input.MaxConcurrentLoads);
       continue;
     }
-    if (loading(Question) == 0)
+    if (loading(Input) == 0)
       return Steps;
-    for (placed_replica &R : Question.Replicas)
+    for (placed_replica &R : Input.Replicas)
       R.Loaded = R.Assigned;
   }
-  BOOST_FAIL("the placement never settles");
+  BOOST_FAIL("the placement does not converge within 200 steps");
   return 0;
 }
 
@@ -62,90 +63,92 @@
 
 BOOST_AUTO_TEST_SUITE(placing_versions)
 
-BOOST_AUTO_TEST_CASE(gives_room_by_demand_and_two_copies_to_each) {
-  placement_input Question = fleet(6);
-  Question.Versions = {{V1, 90}, {V2, 10}, {V3, 0}};
-  settle(Question);
-  BOOST_TEST(copies(Question, V1) == 6U);
-  BOOST_TEST(copies(Question, V2) >= 2U);
-  BOOST_TEST(copies(Question, V3) >= 2U);
+BOOST_AUTO_TEST_CASE(places_by_demand_with_two_copies_of_each) {
+  placement_input Input = fleet(6);
+  Input.Versions = {{V1, 90}, {V2, 10}, {V3, 0}};
+  runToConvergence(Input);
+  BOOST_TEST(copies(Input, V1) == 6U);
+  BOOST_TEST(copies(Input, V2) >= 2U);
+  BOOST_TEST(copies(Input, V3) >= 2U);
   std::set<std::string> Halls;
-  for (const placed_replica &R : Question.Replicas)
+  for (const placed_replica &R : Input.Replicas)
     if (R.Assigned.contains(V3))
       Halls.insert(R.DataHall);
   BOOST_TEST(Halls.size() >= 2U);
 }
 
-BOOST_AUTO_TEST_CASE(follows_demand_and_then_rests) {
-  placement_input Question = fleet(12);
-  Question.Versions = {{V1, 90}, {V2, 10}, {V3, 10}};
-  settle(Question);
-  size_t Before = copies(Question, V3);
-  Question.Versions = {{V1, 10}, {V2, 10}, {V3, 90}};
-  size_t Steps = settle(Question);
-  BOOST_TEST(copies(Question, V3) > Before);
-  BOOST_TEST(copies(Question, V1) >= 2U);
+BOOST_AUTO_TEST_CASE(follows_demand_without_oscillating) {
+  placement_input Input = fleet(12);
+  Input.Versions = {{V1, 90}, {V2, 10}, {V3, 10}};
+  runToConvergence(Input);
+  size_t Before = copies(Input, V3);
+  Input.Versions = {{V1, 10}, {V2, 10}, {V3, 90}};
+  size_t Steps = runToConvergence(Input);
+  BOOST_TEST(copies(Input, V3) > Before);
+  BOOST_TEST(copies(Input, V1) >= 2U);
   BOOST_TEST(Steps <= 12U);
-  // A little more or less is not worth a load.
-  Question.Versions = {{V1, 11}, {V2, 9}, {V3, 95}};
-  BOOST_TEST(!nextPlacement(Question).has_value());
+  // A small change in demand does not justify loading a version.
+  Input.Versions = {{V1, 11}, {V2, 9}, {V3, 95}};
+  BOOST_TEST(!nextPlacement(Input).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(clears_what_was_ended_even_while_loads_run) {
-  placement_input Question = fleet(3);
-  Question.Versions = {{V2, 1}};
-  Question.Replicas[1].Assigned = {V1, V2};
-  Question.Replicas[0].Assigned = {V2};
-  Question.Replicas[2].Assigned = {V2}; // Three loads: more than are allowed.
-  auto Step = nextPlacement(Question);
+BOOST_AUTO_TEST_CASE(removes_ended_versions_even_while_loads_run) {
+  placement_input Input = fleet(3);
+  Input.Versions = {{V2, 1}};
+  Input.Replicas[1].Assigned = {V1, V2};
+  Input.Replicas[0].Assigned = {V2};
+  // Three loads in progress, which is more than the limit.
+  Input.Replicas[2].Assigned = {V2};
+  auto Step = nextPlacement(Input);
   BOOST_REQUIRE(Step.has_value());
   BOOST_TEST(Step->Replica == 1U);
   BOOST_TEST((Step->Assigned == std::set{V2}));
-  Question.Replicas[1].Assigned = Step->Assigned;
-  BOOST_TEST(!nextPlacement(Question).has_value());
+  Input.Replicas[1].Assigned = Step->Assigned;
+  BOOST_TEST(!nextPlacement(Input).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(makes_up_for_lost_replicas) {
-  placement_input Question = fleet(6);
-  Question.Versions = {{V1, 50}, {V2, 5}, {V3, 5}};
-  settle(Question);
-  for (placed_replica &R : Question.Replicas)
+BOOST_AUTO_TEST_CASE(restores_two_copies_after_losing_replicas) {
+  placement_input Input = fleet(6);
+  Input.Versions = {{V1, 50}, {V2, 5}, {V3, 5}};
+  runToConvergence(Input);
+  for (placed_replica &R : Input.Replicas)
     R.Usable = R.DataHall != "hall-0";
-  settle(Question);
+  runToConvergence(Input);
   for (const version_name &Name : {V1, V2, V3})
-    BOOST_TEST(copies(Question, Name) >= 2U);
+    BOOST_TEST(copies(Input, Name) >= 2U);
 }
 
-// A copy that is still being loaded serves nobody: the last loaded ones stay.
-BOOST_AUTO_TEST_CASE(never_takes_away_copies_that_are_needed) {
-  placement_input Question = fleet(3);
-  Question.MaxConcurrentLoads = 5;
-  Question.Versions = {{V1, 1}, {V2, 1000}};
-  for (placed_replica &R : Question.Replicas)
+// Guards against removing the last copies that can serve: a copy that is still
+// loading cannot, so it does not replace a loaded one.
+BOOST_AUTO_TEST_CASE(never_removes_the_last_loaded_copies) {
+  placement_input Input = fleet(3);
+  Input.MaxConcurrentLoads = 5;
+  Input.Versions = {{V1, 1}, {V2, 1000}};
+  for (placed_replica &R : Input.Replicas)
     R.MaxLoadedVersions = 1;
   for (size_t I : {0, 1, 2})
-    Question.Replicas[I].Assigned = {V1};
-  Question.Replicas[0].Loaded = {V1};
-  Question.Replicas[1].Loaded = {V1};
-  BOOST_TEST(!nextPlacement(Question).has_value());
-  Question.Replicas[2].Loaded = {V1};
-  BOOST_TEST(nextPlacement(Question).has_value());
+    Input.Replicas[I].Assigned = {V1};
+  Input.Replicas[0].Loaded = {V1};
+  Input.Replicas[1].Loaded = {V1};
+  BOOST_TEST(!nextPlacement(Input).has_value());
+  Input.Replicas[2].Loaded = {V1};
+  BOOST_TEST(nextPlacement(Input).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(orders_nothing_away_that_has_work) {
-  version_assignment Wish{
+BOOST_AUTO_TEST_CASE(does_not_unload_a_version_with_requests_in_flight) {
+  version_assignment Assignment{
       .Index = 7, .Versions = {{V2, "two"}, {V3, "three"}}, .Room = 2};
   std::map<version_name, std::string> Held = {{V1, "one"}, {V2, "two"}};
-  auto Busy = versionsToLoad(Wish, Held, {V1});
+  auto Busy = versionsToLoad(Assignment, Held, {V1});
   BOOST_TEST(Busy.size() == 2U);
   BOOST_TEST(Busy.contains(V1));
   BOOST_TEST(Busy.contains(V2));
-  auto Free = versionsToLoad(Wish, Held, {});
+  auto Free = versionsToLoad(Assignment, Held, {});
   BOOST_TEST(!Free.contains(V1));
   BOOST_TEST(Free.contains(V3));
 }
 
-BOOST_AUTO_TEST_CASE(reads_what_an_engine_holds) {
+BOOST_AUTO_TEST_CASE(rejects_malformed_engine_models) {
   auto Good = parseEngineModels(R"({"fence": 9, "loaded": ["a", "b"]})");
   BOOST_REQUIRE(Good.has_value());
   BOOST_TEST(Good->Fence == 9U);
