--- a/tests/unit/routing_changes_test.cpp
+++ b/tests/unit/routing_changes_test.cpp
@@ -1,4 +1,4 @@
-//===- routing_changes_test.cpp - The routing told by its changes ---------===//
+//===- routing_changes_test.cpp - Incremental routing updates -------------===//
 
 #include "boost/test/unit_test.hpp"
 #include "catalog/routing_copy.h"
@@ -15,7 +15,8 @@
 namespace {
 
 #ifdef __SANITIZE_ADDRESS__
-constexpr int FuzzRounds = 5000; // Ten times slower; the plain build runs all.
+// Ten times slower here; the plain build runs all rounds.
+constexpr int FuzzRounds = 5000;
 #else
 constexpr int FuzzRounds = 100000;
 #endif
@@ -50,8 +51,8 @@
   return Config;
 }
 
-/// All that callers can tell of a table.
-std::string lookUps(const routing_table &Table) {
+/// Returns the results of all look-ups that can tell two random tables apart.
+std::string lookUpResults(const routing_table &Table) {
   std::string Text = std::to_string(Table.version()) + " " +
                      std::to_string(Table.routes()) + " " +
                      std::to_string(Table.accounts()) + " " +
@@ -78,22 +79,23 @@
   return Text;
 }
 
-/// Asks as a gateway does until nothing more comes; the number of pieces.
-/// Counts in \p Damaged how often the whole had to be asked for.
-int bringUpToDate(routing_publisher &News, routing_replica &Copy,
+/// Requests pieces as a gateway does until \p Copy is up to date, and returns
+/// their number. Counts in \p Damaged how often a damaged transfer made it
+/// request the full routing.
+int bringUpToDate(routing_publisher &Publisher, routing_replica &Copy,
                   int *Damaged = nullptr) {
-  bool WantsWhole = false;
+  bool RequestFull = false;
   for (int Pieces = 0;; ++Pieces) {
-    wire::routing_ask Ask;
-    Ask.set_held_version(WantsWhole ? 0 : Copy.version());
-    Ask.set_version(Copy.pendingVersion());
-    Ask.set_piece(Copy.nextPiece());
-    if (Copy.version() == News.version())
+    wire::routing_ask Request;
+    Request.set_held_version(RequestFull ? 0 : Copy.version());
+    Request.set_version(Copy.pendingVersion());
+    Request.set_piece(Copy.nextPiece());
+    if (Copy.version() == Publisher.version())
       return Pieces;
-    piece_result Result = Copy.applyPiece(*News.piece(Ask));
+    piece_result Result = Copy.applyPiece(*Publisher.piece(Request));
     if (Damaged && Result == piece_result::Corrupt) {
       ++*Damaged;
-      WantsWhole = true;
+      RequestFull = true;
       continue;
     }
     BOOST_REQUIRE(
@@ -115,145 +117,149 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(routing_by_changes)
+BOOST_AUTO_TEST_SUITE(incremental_routing)
 
-BOOST_AUTO_TEST_CASE(brings_any_holder_to_what_control_has) {
+BOOST_AUTO_TEST_CASE(brings_every_gateway_to_the_published_routing) {
   std::mt19937_64 Random(11);
-  routing_publisher News;
-  routing_replica Near; // Up to date before each change.
-  routing_replica Far;  // Misses some.
+  routing_publisher Publisher;
+  routing_replica Current; // Receives each change.
+  routing_replica Lagging; // Misses most changes.
   for (int Round = 1; Round <= FuzzRounds; ++Round) {
     routing_config Config = randomConfig(Random, uint64_t(Round) * 3);
-    News.setConfig(Config);
-    std::string Expected = lookUps(routing_table(Config));
-    bringUpToDate(News, Near);
-    BOOST_REQUIRE_EQUAL(lookUps(*Near.table()), Expected);
+    Publisher.setConfig(Config);
+    std::string Expected = lookUpResults(routing_table(Config));
+    bringUpToDate(Publisher, Current);
+    BOOST_REQUIRE_EQUAL(lookUpResults(*Current.table()), Expected);
     if (Random() % 50 == 0) {
-      bringUpToDate(News, Far);
-      BOOST_REQUIRE_EQUAL(lookUps(*Far.table()), Expected);
+      bringUpToDate(Publisher, Lagging);
+      BOOST_REQUIRE_EQUAL(lookUpResults(*Lagging.table()), Expected);
     }
   }
 }
 
-// A new leader has seen some versions only, not those that gateways hold.
-BOOST_AUTO_TEST_CASE(tells_changes_to_holders_of_versions_it_has_not_seen) {
+// Guards against wrong changes from a new leader that has seen only some
+// versions, and not the one that a gateway holds.
+BOOST_AUTO_TEST_CASE(
+    sends_changes_from_versions_that_a_new_leader_has_not_seen) {
   std::mt19937_64 Random(12);
-  routing_publisher Seen;
-  routing_publisher Seldom;
+  routing_publisher OldLeader;
+  routing_publisher NewLeader;
   routing_replica Copy;
   int Rounds = 0;
   int Damaged = 0;
   for (int Round = 1; Round <= FuzzRounds / 10; ++Round) {
     routing_config Config = randomConfig(Random, uint64_t(Round) * 3);
-    Seen.setConfig(Config);
+    OldLeader.setConfig(Config);
     if (Random() % 3 != 0) {
-      bringUpToDate(Seen, Copy);
+      bringUpToDate(OldLeader, Copy);
       continue;
     }
-    Seldom.setConfig(Config);
+    NewLeader.setConfig(Config);
     bool Known = Copy.version() >= 3 && Rounds++ > 0;
-    wire::routing_ask Ask;
-    Ask.set_held_version(Copy.version());
-    BOOST_REQUIRE((!Known || Seldom.piece(Ask)->since() == Copy.version()));
-    bringUpToDate(Seldom, Copy, &Damaged);
-    BOOST_REQUIRE_EQUAL(lookUps(*Copy.table()), lookUps(routing_table(Config)));
+    wire::routing_ask Request;
+    Request.set_held_version(Copy.version());
+    BOOST_REQUIRE(
+        (!Known || NewLeader.piece(Request)->since() == Copy.version()));
+    bringUpToDate(NewLeader, Copy, &Damaged);
+    BOOST_REQUIRE_EQUAL(lookUpResults(*Copy.table()),
+                        lookUpResults(routing_table(Config)));
   }
-  // Parts that were changed and changed back: common here, with two values
-  // each.
+  // The digest does not match if a part was changed and changed back between
+  // two versions that the new leader has seen. This is common here, because
+  // each part has only two values.
   BOOST_TEST(Damaged < Rounds);
 }
 
-BOOST_AUTO_TEST_CASE(costs_what_a_change_costs) {
-  routing_publisher News;
+BOOST_AUTO_TEST_CASE(sends_a_small_change_in_one_small_piece) {
+  routing_publisher Publisher;
   routing_replica Copy;
-  News.setConfig(manyRoutes(5000, 1));
-  BOOST_TEST(bringUpToDate(News, Copy) > 10);
+  Publisher.setConfig(manyRoutes(5000, 1));
+  BOOST_TEST(bringUpToDate(Publisher, Copy) > 10);
   routing_config Changed = manyRoutes(5000, 2);
   Changed.Routes[17].TimeoutSeconds = 4;
-  News.setConfig(Changed);
-  wire::routing_ask Ask;
-  Ask.set_held_version(1);
-  auto Piece = News.piece(Ask);
+  Publisher.setConfig(Changed);
+  wire::routing_ask Request;
+  Request.set_held_version(1);
+  auto Piece = Publisher.piece(Request);
   BOOST_REQUIRE(Piece.has_value());
   BOOST_TEST(Piece->pieces() == 1U);
   BOOST_TEST(Piece->ByteSizeLong() < 300U);
 }
 
-BOOST_AUTO_TEST_CASE(
-    ends_a_transfer_that_was_begun_though_newer_versions_come) {
-  routing_publisher News;
+BOOST_AUTO_TEST_CASE(completes_a_transfer_although_newer_versions_come) {
+  routing_publisher Publisher;
   routing_replica Copy;
-  News.setConfig(manyRoutes(2000, 1));
+  Publisher.setConfig(manyRoutes(2000, 1));
   uint64_t Version = 1;
   int Pieces = 0;
-  // A newer version with each piece.
+  // Publishes a newer version after each piece.
   while (Copy.version() == 0) {
-    wire::routing_ask Ask;
-    Ask.set_version(Copy.pendingVersion());
-    Ask.set_piece(Copy.nextPiece());
-    BOOST_REQUIRE(Copy.applyPiece(*News.piece(Ask)) != piece_result::Rejected);
-    News.setConfig(manyRoutes(2000, ++Version));
+    wire::routing_ask Request;
+    Request.set_version(Copy.pendingVersion());
+    Request.set_piece(Copy.nextPiece());
+    BOOST_REQUIRE(Copy.applyPiece(*Publisher.piece(Request)) != piece_result::Rejected);
+    Publisher.setConfig(manyRoutes(2000, ++Version));
     BOOST_REQUIRE(++Pieces < 1000);
   }
   BOOST_TEST(Copy.version() == 1U);
-  BOOST_TEST(bringUpToDate(News, Copy) == 1);
+  BOOST_TEST(bringUpToDate(Publisher, Copy) == 1);
   BOOST_TEST(Copy.version() == Version);
 }
 
-BOOST_AUTO_TEST_CASE(keeps_within_its_bounds) {
-  routing_publisher News;
-  // Each version touches all routes, and gateways are at many versions.
+BOOST_AUTO_TEST_CASE(keeps_a_bounded_history) {
+  routing_publisher Publisher;
+  // Each version changes all routes, and gateways hold many different versions.
   for (uint64_t Version = 1; Version <= 60; ++Version) {
     routing_config Config = manyRoutes(4000, Version);
     for (route_spec &Route : Config.Routes)
       Route.TimeoutSeconds = double(Version);
-    News.setConfig(Config);
-    wire::routing_ask Ask;
-    Ask.set_held_version(Version / 2);
-    News.piece(Ask);
-    BOOST_REQUIRE(News.cachedBytes() <= size_t(13 << 20));
-    BOOST_REQUIRE(News.retainedChanges() <= 14U);
+    Publisher.setConfig(Config);
+    wire::routing_ask Request;
+    Request.set_held_version(Version / 2);
+    Publisher.piece(Request);
+    BOOST_REQUIRE(Publisher.cachedBytes() <= size_t(13 << 20));
+    BOOST_REQUIRE(Publisher.retainedChanges() <= 14U);
   }
 }
 
-BOOST_AUTO_TEST_CASE(takes_no_piece_that_does_not_fit) {
-  routing_publisher News;
-  News.setConfig(manyRoutes(600, 5));
+BOOST_AUTO_TEST_CASE(rejects_unexpected_and_damaged_pieces) {
+  routing_publisher Publisher;
+  Publisher.setConfig(manyRoutes(600, 5));
   routing_replica Copy;
-  bringUpToDate(News, Copy);
-  std::string Before = lookUps(*Copy.table());
+  bringUpToDate(Publisher, Copy);
+  std::string Before = lookUpResults(*Copy.table());
   routing_config Next = manyRoutes(1200, 9);
-  News.setConfig(Next);
-  wire::routing_ask Ask;
-  Ask.set_held_version(5);
-  wire::routing_piece First = *News.piece(Ask);
+  Publisher.setConfig(Next);
+  wire::routing_ask Request;
+  Request.set_held_version(5);
+  wire::routing_piece First = *Publisher.piece(Request);
   BOOST_REQUIRE(First.pieces() >= 2U);
-  Ask.set_version(9);
-  Ask.set_piece(1);
-  wire::routing_piece Second = *News.piece(Ask);
+  Request.set_version(9);
+  Request.set_piece(1);
+  wire::routing_piece Second = *Publisher.piece(Request);
 
-  struct odd_case {
+  struct invalid_case {
     const char *What;
     std::function<void(wire::routing_piece &)> Change;
   };
-  const odd_case Cases[] = {
+  const invalid_case Cases[] = {
       {"out of order", [&](auto &Piece) { Piece = Second; }},
       {"an old version", [](auto &Piece) { Piece.set_version(5); }},
       {"on another version", [](auto &Piece) { Piece.set_since(4); }},
       {"beyond the last", [](auto &Piece) { Piece.set_pieces(0); }},
   };
-  for (const odd_case &Case : Cases)
+  for (const invalid_case &Case : Cases)
     BOOST_TEST_CONTEXT(Case.What) {
       wire::routing_piece Piece = First;
       Case.Change(Piece);
       BOOST_TEST((Copy.applyPiece(Piece) == piece_result::Rejected));
     }
-  // Doubled: the second of the same changes nothing.
+  // A duplicate of a piece changes nothing.
   BOOST_TEST((Copy.applyPiece(First) == piece_result::Stored));
   BOOST_TEST((Copy.applyPiece(Second) != piece_result::Rejected));
   BOOST_TEST((Copy.applyPiece(Second) == piece_result::Rejected));
 
-  const odd_case Damages[] = {
+  const invalid_case Damages[] = {
       {"bytes that are no part",
        [](auto &Piece) { Piece.mutable_entries(0)->set_part("\xff\xff"); }},
       {"no weight",
@@ -266,25 +272,26 @@
        [](auto &Piece) { Piece.mutable_entries()->RemoveLast(); }},
       {"another digest", [](auto &Piece) { Piece.set_digest(1); }},
   };
-  for (const odd_case &Case : Damages)
+  for (const invalid_case &Case : Damages)
     BOOST_TEST_CONTEXT(Case.What) {
       wire::routing_piece Piece = First;
       Case.Change(Piece);
       Piece.set_pieces(1);
       BOOST_TEST((Copy.applyPiece(Piece) == piece_result::Corrupt));
       BOOST_TEST(Copy.pendingVersion() == 0U);
-      BOOST_TEST(lookUps(*Copy.table()) == Before);
+      BOOST_TEST(lookUpResults(*Copy.table()) == Before);
     }
-  bringUpToDate(News, Copy);
-  BOOST_TEST(lookUps(*Copy.table()) == lookUps(routing_table(Next)));
+  bringUpToDate(Publisher, Copy);
+  BOOST_TEST(lookUpResults(*Copy.table()) ==
+             lookUpResults(routing_table(Next)));
 }
 
-BOOST_AUTO_TEST_CASE(survives_pieces_with_random_bytes_changed) {
+BOOST_AUTO_TEST_CASE(does_not_crash_on_corrupted_pieces) {
   google::protobuf::LogSilencer Quiet;
   std::mt19937_64 Random(5);
-  routing_publisher News;
-  News.setConfig(randomConfig(Random, 1));
-  wire::routing_piece Good = *News.piece({});
+  routing_publisher Publisher;
+  Publisher.setConfig(randomConfig(Random, 1));
+  wire::routing_piece Good = *Publisher.piece({});
   std::string Bytes = Good.SerializeAsString();
   for (int Round = 0; Round < FuzzRounds; ++Round) {
     std::string Odd = Bytes;
@@ -292,39 +299,38 @@
       Odd[Random() % Odd.size()] = char(Random());
     wire::routing_piece Piece;
     routing_replica Copy;
-    if (Piece.ParseFromString(Odd) &&
-        Copy.applyPiece(Piece) == piece_result::InForce)
-      lookUps(*Copy.table());
+    if (Piece.ParseFromString(Odd) && Copy.applyPiece(Piece) == piece_result::InForce)
+      lookUpResults(*Copy.table());
   }
 }
 
-BOOST_AUTO_TEST_CASE(requests_keep_the_route_that_they_came_by) {
-  routing_publisher News;
+BOOST_AUTO_TEST_CASE(keeps_the_route_of_a_request_in_flight) {
+  routing_publisher Publisher;
   routing_replica Copy;
-  News.setConfig(manyRoutes(3, 1));
-  bringUpToDate(News, Copy);
+  Publisher.setConfig(manyRoutes(3, 1));
+  bringUpToDate(Publisher, Copy);
   auto Route = Copy.table()->route("a.example", "/r1/x");
-  News.setConfig(manyRoutes(1, 2));
-  bringUpToDate(News, Copy);
+  Publisher.setConfig(manyRoutes(1, 2));
+  bringUpToDate(Publisher, Copy);
   BOOST_TEST(Copy.table()->route("a.example", "/r1/x") == nullptr);
   BOOST_TEST(Route->Name == "route-1");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(fetching_a_routing)
+BOOST_AUTO_TEST_SUITE(routing_transfer)
 
 namespace {
 
 wire::routing_piece onlyPiece(uint64_t Version) {
-  routing_publisher News;
-  News.setConfig(manyRoutes(1, Version));
-  return *News.piece({});
+  routing_publisher Publisher;
+  Publisher.setConfig(manyRoutes(1, Version));
+  return *Publisher.piece({});
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(asks_one_at_a_time_with_growing_pauses) {
+BOOST_AUTO_TEST_CASE(sends_one_request_at_a_time_with_growing_pauses) {
   routing_fetch Fetch(1);
   BOOST_TEST(!Fetch.nextRequest(0));
   Fetch.recordOffer("a", 3);
@@ -342,20 +348,20 @@
   BOOST_TEST(Times[1] - Times[0] > Times[0]);
 }
 
-BOOST_AUTO_TEST_CASE(goes_to_another_control_vm_when_one_falls_silent) {
+BOOST_AUTO_TEST_CASE(switches_to_another_control_vm_when_one_falls_silent) {
   routing_fetch Fetch(1);
   Fetch.recordOffer("a", 3);
   BOOST_TEST(Fetch.nextRequest(0)->To == "a");
   Fetch.recordOffer("b", 3);
   BOOST_TEST(!Fetch.nextRequest(0.1));
   BOOST_TEST(Fetch.nextRequest(5)->To == "b");
-  // What the first says now belongs to nobody.
+  // A piece from the first VM is no longer expected.
   BOOST_TEST((Fetch.take("a", onlyPiece(3)) == piece_result::Rejected));
   BOOST_TEST((Fetch.take("b", onlyPiece(3)) == piece_result::InForce));
   BOOST_TEST(!Fetch.nextRequest(6));
 }
 
-BOOST_AUTO_TEST_CASE(asks_for_the_whole_after_damage) {
+BOOST_AUTO_TEST_CASE(requests_the_full_routing_after_damage) {
   routing_fetch Fetch(1);
   Fetch.recordOffer("a", 3);
   Fetch.nextRequest(0);
@@ -366,7 +372,7 @@
   Damaged.set_digest(0);
   BOOST_TEST((Fetch.take("a", Damaged) == piece_result::Corrupt));
   BOOST_TEST(Fetch.nextRequest(1.01)->Request.held_version() == 0U);
-  // And pauses when that is damaged too.
+  // It pauses if the full routing is damaged too.
   BOOST_TEST((Fetch.take("a", Damaged) == piece_result::Corrupt));
   BOOST_TEST(!Fetch.nextRequest(1.02));
   BOOST_TEST(Fetch.nextRequest(9)->Request.held_version() == 0U);
@@ -375,7 +381,7 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(documents_in_the_log)
+BOOST_AUTO_TEST_SUITE(document_patches)
 
 namespace {
 
@@ -389,7 +395,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(lead_from_any_text_to_any_other) {
+BOOST_AUTO_TEST_CASE(turn_any_text_into_any_other) {
   std::mt19937_64 Random(3);
   std::string Old;
   for (int Round = 0; Round < FuzzRounds; ++Round) {
@@ -399,9 +405,9 @@
       New.erase(Random() % New.size(), Random() % 20);
       New.insert(Random() % (New.size() + 1), "{\"more\":1}");
     }
-    auto Made = applyPatch(Old, makePatch(Old, New), 1 << 20);
-    BOOST_REQUIRE(Made.has_value());
-    BOOST_REQUIRE_EQUAL(*Made, New);
+    auto Patched = applyPatch(Old, makePatch(Old, New), 1 << 20);
+    BOOST_REQUIRE(Patched.has_value());
+    BOOST_REQUIRE_EQUAL(*Patched, New);
     Old = New;
   }
 }
@@ -417,34 +423,34 @@
   wire::routing_change Change = makeRoutingChange(1, Old, 2, New);
   BOOST_TEST(Change.base_version() == 1U);
   BOOST_TEST(Change.ByteSizeLong() < 1000U);
-  // Nothing alike: the whole is shorter.
+  // Nothing in common: the full document is shorter than a patch.
   BOOST_TEST(makeRoutingChange(1, Old, 2, "{}").document() == "{}");
 }
 
-BOOST_AUTO_TEST_CASE(change_nothing_where_they_do_not_fit) {
+BOOST_AUTO_TEST_CASE(that_do_not_fit_change_nothing) {
   std::string Route = "{\"name\":\"" + std::string(500, 'a') + "\"}";
   std::string Old = "{\"version\":1,\"routes\":[" + Route + "]}";
   std::string New = "{\"version\":2,\"routes\":[" + Route + ",{}]}";
   std::string Third = "{\"version\":3,\"routes\":[" + Route + ",{}]}";
-  routing_store Book;
-  BOOST_TEST(Book.apply(makeRoutingChange(0, "", 1, Old)).ok());
+  routing_store Store;
+  BOOST_TEST(Store.apply(makeRoutingChange(0, "", 1, Old)).ok());
   wire::routing_change Skipped = makeRoutingChange(2, New, 3, Third);
   BOOST_REQUIRE(Skipped.base_version() == 2U);
-  BOOST_TEST(!Book.apply(Skipped).ok());
+  BOOST_TEST(!Store.apply(Skipped).ok());
   wire::routing_change Damaged = makeRoutingChange(1, Old, 2, New);
   Damaged.set_digest(1);
-  BOOST_TEST(!Book.apply(Damaged).ok());
+  BOOST_TEST(!Store.apply(Damaged).ok());
   Damaged = makeRoutingChange(1, Old, 2, New);
   Damaged.mutable_steps(0)->set_from(10000);
-  BOOST_TEST(!Book.apply(Damaged).ok());
-  BOOST_TEST(Book.version() == 1U);
-  BOOST_TEST(Book.document() == Old);
-  BOOST_TEST(Book.apply(makeRoutingChange(1, Old, 2, New)).ok());
-  BOOST_TEST(Book.apply(Skipped).ok());
-  BOOST_TEST(Book.document() == Third);
-  // An older one changes nothing, and is no error.
-  BOOST_TEST(Book.apply(makeRoutingChange(1, Old, 2, New)).ok());
-  BOOST_TEST(Book.version() == 3U);
+  BOOST_TEST(!Store.apply(Damaged).ok());
+  BOOST_TEST(Store.version() == 1U);
+  BOOST_TEST(Store.document() == Old);
+  BOOST_TEST(Store.apply(makeRoutingChange(1, Old, 2, New)).ok());
+  BOOST_TEST(Store.apply(Skipped).ok());
+  BOOST_TEST(Store.document() == Third);
+  // An older change has no effect and is not an error.
+  BOOST_TEST(Store.apply(makeRoutingChange(1, Old, 2, New)).ok());
+  BOOST_TEST(Store.version() == 3U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/routing_test.cpp
+++ b/tests/unit/routing_test.cpp
@@ -61,8 +61,7 @@
 
 BOOST_AUTO_TEST_SUITE(routing)
 
-BOOST_AUTO_TEST_CASE(
-    is_read_whole_and_fields_of_a_newer_writer_are_passed_over) {
+BOOST_AUTO_TEST_CASE(document_is_parsed_and_unknown_fields_are_ignored) {
   auto Config = readRouting(smallRouting().dump());
   BOOST_REQUIRE(Config.ok());
   BOOST_TEST(Config->Version == 7U);
@@ -77,7 +76,7 @@
   BOOST_TEST(Config->Limits.IdleSeconds == 15);
 }
 
-BOOST_AUTO_TEST_CASE(the_longest_prefix_of_the_host_wins) {
+BOOST_AUTO_TEST_CASE(table_matches_the_longest_prefix_of_the_host) {
   routing_table Table(*readRouting(smallRouting().dump()));
   BOOST_TEST(Table.route("a.example", "/plans/today")->Name == "plans");
   BOOST_TEST(Table.route("a.example", "/plans")->Name == "all");
@@ -86,7 +85,7 @@
   BOOST_TEST(Table.accountOfKey("k3") == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(what_cannot_be_meant_is_refused_with_its_field) {
+BOOST_AUTO_TEST_CASE(document_with_an_invalid_field_is_refused_by_name) {
   struct fault_case {
     const char *What;
     json::json_pointer Place;
@@ -126,13 +125,14 @@
       BOOST_TEST(Text.starts_with(Case.Field), Text);
     }
   }
-  std::string Whole = smallRouting().dump();
-  BOOST_TEST(!readRouting(Whole.substr(0, Whole.size() / 2)).ok());
+  std::string CompleteText = smallRouting().dump();
+  BOOST_TEST(
+      !readRouting(CompleteText.substr(0, CompleteText.size() / 2)).ok());
 }
 
-BOOST_AUTO_TEST_SUITE(in_the_log)
+BOOST_AUTO_TEST_SUITE(replicated_routing)
 
-BOOST_AUTO_TEST_CASE(the_highest_version_wins_and_survives_a_snapshot) {
+BOOST_AUTO_TEST_CASE(highest_version_wins_and_survives_a_snapshot) {
   state_machine State;
   auto Put = [&](uint64_t Index, uint64_t Version, const char *Document) {
     return State.apply(Index, commandText([&](wire::command &Command) {
@@ -151,42 +151,41 @@
   BOOST_TEST(Copy.routing().version() == 9U);
 }
 
-BOOST_AUTO_TEST_CASE(
-    a_roll_out_begins_once_and_steps_only_from_where_it_stands) {
-  rollout_store Book;
-  BOOST_TEST(Book.begin(order("v2"), 100).ok());
-  BOOST_TEST(Book.begin(order("v2"), 101).ok());
-  BOOST_TEST(Book.revision() == 1U);
-  BOOST_TEST(!Book.begin(order("v3"), 102).ok());
+BOOST_AUTO_TEST_CASE(roll_out_ignores_repeated_orders_and_stale_steps) {
+  rollout_store Store;
+  BOOST_TEST(Store.begin(order("v2"), 100).ok());
+  BOOST_TEST(Store.begin(order("v2"), 101).ok());
+  BOOST_TEST(Store.revision() == 1U);
+  BOOST_TEST(!Store.begin(order("v3"), 102).ok());
   wire::rollout_step Step;
   Step.set_service("llm");
   Step.set_target_version("v2");
   Step.set_from(wire::SHIFT);
   Step.set_to(wire::COMPLETED);
-  Book.step(Step);
-  BOOST_TEST(Book.find("llm")->stage() == wire::CANARY);
+  Store.step(Step);
+  BOOST_TEST(Store.find("llm")->stage() == wire::CANARY);
   Step.set_from(wire::CANARY);
   Step.set_to(wire::REVERTED);
-  Book.step(Step);
-  BOOST_TEST(Book.find("llm")->stage() == wire::REVERTED);
-  // A late resend is no new order; the same words much later are one.
-  BOOST_TEST(Book.begin(order("v2"), 104).ok());
-  BOOST_TEST(Book.find("llm")->stage() == wire::REVERTED);
-  BOOST_TEST(Book.begin(order("v2"), 200).ok());
-  BOOST_TEST(Book.find("llm")->stage() == wire::CANARY);
+  Store.step(Step);
+  BOOST_TEST(Store.find("llm")->stage() == wire::REVERTED);
+  // A late resend is not a new order. The same order much later is one.
+  BOOST_TEST(Store.begin(order("v2"), 104).ok());
+  BOOST_TEST(Store.find("llm")->stage() == wire::REVERTED);
+  BOOST_TEST(Store.begin(order("v2"), 200).ok());
+  BOOST_TEST(Store.find("llm")->stage() == wire::CANARY);
   wire::state_image Image;
-  Book.save(Image);
+  Store.save(Image);
   rollout_store Copy;
   Copy.load(Image);
   BOOST_TEST(Copy.find("llm")->begun_wall() == 200);
-  BOOST_TEST(Copy.revision() == Book.revision());
+  BOOST_TEST(Copy.revision() == Store.revision());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(guard_of_a_service)
+BOOST_AUTO_TEST_SUITE(service_rollout_guard)
 
-BOOST_AUTO_TEST_CASE(goes_on_by_time_and_back_by_answers) {
+BOOST_AUTO_TEST_CASE(advances_by_time_and_reverts_on_bad_answers) {
   struct guard_case {
     const char *What;
     rollout_input Facts;
@@ -194,19 +193,23 @@
   };
   using enum rollout_phase;
   version_tally Old{.Answers = 500, .Failures = 25, .Seconds = 50};
-  version_tally Sound{.Answers = 40, .Failures = 2, .Seconds = 4};
+  version_tally Healthy{.Answers = 40, .Failures = 2, .Seconds = 4};
   double Late = shiftAfterSeconds(20) + 0.01;
   double End = completeAfterSeconds(20) + 0.01;
   const guard_case Cases[] = {
-      {"young and sound", {Canary, 5, 20, Sound, Old}, rollout_verdict::Stay},
-      {"sound until late",
-       {Canary, Late, 20, Sound, Old},
+      {"canary without excess failures",
+       {Canary, 5, 20, Healthy, Old},
+       rollout_verdict::Stay},
+      {"no excess failures until the shift",
+       {Canary, Late, 20, Healthy, Old},
        rollout_verdict::Shift},
-      {"not seen at all", {Canary, Late, 20, {}, Old}, rollout_verdict::Revert},
-      {"shifted and sound",
-       {Shift, End, 20, Sound, Old},
+      {"no answers at all",
+       {Canary, Late, 20, {}, Old},
+       rollout_verdict::Revert},
+      {"shifted without excess failures",
+       {Shift, End, 20, Healthy, Old},
        rollout_verdict::Complete},
-      {"a few failures are usual",
+      {"a few failures are normal",
        {Canary, 5, 20, {10, 1, 1}, Old},
        rollout_verdict::Stay},
       {"half fail", {Canary, 5, 20, {10, 5, 1}, Old}, rollout_verdict::Revert},
@@ -216,7 +219,7 @@
       {"eight times slower",
        {Canary, 5, 20, {12, 0, 9.6}, Old},
        rollout_verdict::Revert},
-      {"half as slow again",
+      {"1.5 times slower",
        {Canary, 5, 20, {40, 2, 6}, Old},
        rollout_verdict::Stay},
   };
@@ -225,9 +228,10 @@
   BOOST_TEST(int(judgeRollout(Case.Facts).Verdict) == int(Case.Verdict));
 }
 
-// What a bad version gets at most, as a share of the requests until the
-// deadline, when it turns bad only once everything goes to it.
-BOOST_AUTO_TEST_CASE(leaves_a_late_bad_version_little) {
+// Guards against schedules that send many requests to a version that turns bad
+// only after the shift, when it receives all of them. The bound is its share of
+// the requests until the deadline.
+BOOST_AUTO_TEST_CASE(bounds_the_share_of_a_version_that_turns_bad_late) {
   for (double Duration : {12.0, 16.0, 24.0, 60.0}) {
     double Shifted =
         (completeAfterSeconds(Duration) - shiftAfterSeconds(Duration)) /
--- a/tests/unit/sidecar_test.cpp
+++ b/tests/unit/sidecar_test.cpp
@@ -1,4 +1,4 @@
-//===- sidecar_test.cpp - A sidecar's rules -------------------------------===//
+//===- sidecar_test.cpp - Admission, attempts and usage at a sidecar ------===//
 
 #include "base/error.h"
 #include "boost/test/unit_test.hpp"
@@ -11,20 +11,20 @@
 
 BOOST_AUTO_TEST_SUITE(a_sidecar)
 
-BOOST_AUTO_TEST_CASE(admits_only_what_its_own_configuration_allows) {
+BOOST_AUTO_TEST_CASE(refuses_attempts_that_its_configuration_does_not_allow) {
   struct admission_case {
     const char *What;
     std::function<void(wire::attempt &, admission_state &)> Change;
     error_kind Kind;
   };
   const admission_case Cases[] = {
-      {"what is allowed", [](auto &, auto &) {}, error_kind::None},
-      {"another start of it",
+      {"an allowed attempt", [](auto &, auto &) {}, error_kind::None},
+      {"another incarnation of the sidecar",
        [](auto &A, auto &) { A.set_sidecar_incarnation(8); },
        error_kind::StaleIncarnation},
       {"no lease", [](auto &, auto &S) { S.HasLease = false; },
        error_kind::NoLease},
-      {"stopping", [](auto &, auto &S) { S.Stopping = true; },
+      {"a sidecar that is stopping", [](auto &, auto &S) { S.Stopping = true; },
        error_kind::Draining},
       {"a version not allowed", [](auto &A, auto &) { A.set_version("2"); },
        error_kind::ModelNotAllowed},
@@ -65,7 +65,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(never_runs_what_was_cancelled_before_it_came) {
+BOOST_AUTO_TEST_CASE(does_not_start_an_attempt_cancelled_before_it_arrived) {
   attempt_table Table;
   attempt_key Key{1, 2, 3};
   BOOST_TEST(
@@ -78,7 +78,7 @@
   BOOST_TEST(Table.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(reads_usage_from_plain_and_streamed_answers) {
+BOOST_AUTO_TEST_CASE(reads_usage_split_across_reads_of_a_streamed_answer) {
   usage_scanner Scanner;
   for (int I = 0; I < 1000; ++I)
     Scanner.feed("data: {\"choices\":[{\"delta\":{\"content\":\"{}\"}}]}\n\n");
--- a/tests/unit/state_test.cpp
+++ b/tests/unit/state_test.cpp
@@ -9,9 +9,9 @@
 
 using namespace olivevalve;
 
-BOOST_AUTO_TEST_SUITE(the_replicated_state)
+BOOST_AUTO_TEST_SUITE(replicated_state)
 
-BOOST_AUTO_TEST_CASE(gives_a_claim_to_the_first_and_only_once) {
+BOOST_AUTO_TEST_CASE(grants_a_claim_only_to_the_first_value) {
   claim_table Table;
   BOOST_TEST(Table.claim(claimOf("k", "one"), 10).won());
   BOOST_TEST(Table.claim(claimOf("k", "one"), 11).won());
@@ -27,7 +27,7 @@
   BOOST_TEST(Table.size() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(keeps_a_session_with_its_first_version_while_it_is_used) {
+BOOST_AUTO_TEST_CASE(keeps_a_session_on_its_first_version_while_in_use) {
   pin_table Table;
   BOOST_TEST(Table.claim(claimOf("s", "m@1"), 10).won());
   BOOST_TEST(Table.claim(claimOf("s", "m@1"), 11).won());
@@ -45,16 +45,16 @@
 
   wire::state_image Image;
   Table.save(Image);
-  pin_table Back;
-  Back.load(Image);
-  BOOST_TEST(Back.claim(claimOf("s", "m@1"), 6000).value() == "m@3");
-  Back.expire(6700); // The other was quiet for an hour.
-  BOOST_TEST(Back.size() == 1U);
-  Back.expire(9600);
-  BOOST_TEST(Back.size() == 0U);
+  pin_table Restored;
+  Restored.load(Image);
+  BOOST_TEST(Restored.claim(claimOf("s", "m@1"), 6000).value() == "m@3");
+  Restored.expire(6700); // The other pin was unused for an hour.
+  BOOST_TEST(Restored.size() == 1U);
+  Restored.expire(9600);
+  BOOST_TEST(Restored.size() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(takes_over_pins_of_images_that_hold_them_among_claims) {
+BOOST_AUTO_TEST_CASE(loads_pins_from_images_that_store_them_as_claims) {
   wire::state_image Image;
   wire::stored_claim *Old = Image.add_claims();
   Old->set_space("session");
@@ -70,7 +70,7 @@
   BOOST_TEST(Claims.size() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(counts_a_bill_once_in_any_order) {
+BOOST_AUTO_TEST_CASE(counts_a_repeated_bill_once_in_any_order) {
   bill_ledger Ledger;
   for (uint64_t Request : {3, 1, 2, 3, 1, 7, 6, 2}) {
     wire::bill Bill;
@@ -91,7 +91,7 @@
   BOOST_TEST(Image.ranges_size() == 2);
 }
 
-BOOST_AUTO_TEST_CASE(comes_back_whole_from_its_image) {
+BOOST_AUTO_TEST_CASE(is_restored_completely_from_its_image) {
   state_machine State;
   auto Change = [](const std::string &Id) {
     return commandText([&](wire::command &Command) {
@@ -115,19 +115,20 @@
                   Rating->set_version("2");
                   Rating->set_score(0.1);
                 }));
-  state_machine Back;
-  BOOST_REQUIRE(Back.restore(State.image()));
-  BOOST_TEST(Back.image() == State.image());
-  BOOST_TEST(Back.apply(100, Change("first")).Repeated);
-  auto Reports = Back.ratings().evaluate(Back.config());
+  state_machine Restored;
+  BOOST_REQUIRE(Restored.restore(State.image()));
+  BOOST_TEST(Restored.image() == State.image());
+  BOOST_TEST(Restored.apply(100, Change("first")).Repeated);
+  auto Reports = Restored.ratings().evaluate(Restored.config());
   BOOST_REQUIRE(Reports.size() == 2U);
   BOOST_TEST((Reports[1].Verdict == guard_verdict::Stop));
-  BOOST_TEST(!Back.restore("nonsense"));
+  BOOST_TEST(!Restored.restore("nonsense"));
 }
 
-// The guard ends a version where it is bad and nowhere else; one that is bad
-// everywhere it ends whole.
-BOOST_AUTO_TEST_CASE(end_a_version_only_where_it_is_bad) {
+// Guards against a version that is stopped where it is good, or that goes on
+// where it is bad: one that is bad for a single template or account is stopped
+// only there, one that is bad everywhere is stopped completely.
+BOOST_AUTO_TEST_CASE(stops_a_version_only_where_it_is_bad) {
   struct bad_case {
     const char *What;
     bool OneTemplate;
@@ -148,7 +149,7 @@
         return Catalog;
       };
       catalog Catalog = Config("{}");
-      rating_store Book;
+      rating_store Store;
       std::mt19937_64 Random(5);
       std::normal_distribution<double> Noise(0, 0.1);
       auto Rate = [&](const char *Version, bool MayBeBad) {
@@ -162,7 +163,7 @@
                    (!Case.OneAccount || Rating.account() == "a0");
         Rating.set_score(
             std::clamp((Bad ? 0.4 : 0.85) + Noise(Random), 0.0, 1.0));
-        Book.add(Rating, Catalog);
+        Store.add(Rating, Catalog);
       };
       for (int I = 0; I < 400; ++I)
         Rate("1", false);
@@ -171,7 +172,7 @@
                       Report.Verdict == guard_verdict::Go;
            ++I) {
         Rate("2", true);
-        Report = Book.evaluate(Catalog)[1];
+        Report = Store.evaluate(Catalog)[1];
       }
       if (!Case.OneTemplate && !Case.OneAccount) {
         BOOST_TEST((Report.Verdict == guard_verdict::Stop));
@@ -179,11 +180,10 @@
       }
       BOOST_TEST((Report.Verdict == guard_verdict::Go));
       BOOST_REQUIRE(Report.StoppedScopes.size() == 1U);
-      BOOST_TEST(Report.StoppedScopes[0].Name ==
-                 (Case.OneTemplate ? "t0" : "a0"));
+      BOOST_TEST(Report.StoppedScopes[0].Name == (Case.OneTemplate ? "t0" : "a0"));
       Catalog = Config(Case.OneTemplate ? R"({"templates":["t0"]})"
                                         : R"({"accounts":["a0"]})");
-      Report = Book.evaluate(Catalog)[1];
+      Report = Store.evaluate(Catalog)[1];
       BOOST_TEST(Report.StoppedScopes.empty());
       BOOST_TEST(Report.Evidence < 1);
       BOOST_TEST((Report.Verdict == guard_verdict::Go));
@@ -191,23 +191,24 @@
   }
 }
 
-// Whatever is published when, a node that asks again and again ends up with
-// every cell within a part of its error, and hears each at most once.
-BOOST_AUTO_TEST_CASE(tells_nodes_the_estimates_that_moved) {
+// Guards against nodes with outdated estimates: a node that polls repeatedly
+// ends up with every cell within its error, whatever the order of ratings and
+// polls, and is not sent all cells again each time.
+BOOST_AUTO_TEST_CASE(sends_nodes_the_estimates_that_changed) {
   catalog Catalog = smallCatalog();
-  rating_store Book;
+  rating_store Store;
   estimates AtNode;
-  uint64_t Known = 0;
-  size_t Told = 0;
+  uint64_t HeldIndex = 0;
+  size_t SentCells = 0;
   std::mt19937_64 Random(3);
   std::normal_distribution<double> Score(0.7, 0.2);
-  auto Ask = [&](size_t Most) {
+  auto Poll = [&](size_t MaxCells) {
     wire::estimate_table Table;
-    Book.fillEstimateTable(Known, Most, Table);
-    BOOST_TEST(size_t(Table.cells_size()) <= Most + 3);
+    Store.fillEstimateTable(HeldIndex, MaxCells, Table);
+    BOOST_TEST(size_t(Table.cells_size()) <= MaxCells + 3);
     loadCells(Table.cells(), AtNode);
-    Known = Table.index();
-    Told += size_t(Table.cells_size());
+    HeldIndex = Table.index();
+    SentCells += size_t(Table.cells_size());
     return Table.cells_size();
   };
   constexpr int Ratings = 20000;
@@ -219,25 +220,25 @@
     Rating.set_version(Random() % 2 ? "1" : "2");
     Rating.set_score(std::clamp(Score(Random), 0.0, 1.0));
     Rating.set_cost(1);
-    Book.add(Rating, Catalog);
+    Store.add(Rating, Catalog);
     if (I % 50 == 0)
-      Ask(10);
+      Poll(10);
   }
-  while (Ask(10) > 0)
-    BOOST_REQUIRE(Known <= Book.ratings());
-  BOOST_TEST(Known == Book.ratings());
-  BOOST_TEST(Told < size_t(Ratings) / 4);
-  BOOST_TEST(AtNode.cells().size() == Book.quality().cells().size());
-  for (const auto &[Key, Sums] : Book.quality().cells()) {
+  while (Poll(10) > 0)
+    BOOST_REQUIRE(HeldIndex <= Store.ratings());
+  BOOST_TEST(HeldIndex == Store.ratings());
+  BOOST_TEST(SentCells < size_t(Ratings) / 4);
+  BOOST_TEST(AtNode.cells().size() == Store.quality().cells().size());
+  for (const auto &[Key, Sums] : Store.quality().cells()) {
     estimate There = AtNode.of(Key, 1);
-    estimate Here = Book.quality().of(Key, 1);
+    estimate Here = Store.quality().of(Key, 1);
     BOOST_TEST(std::abs(There.Quality - Here.Quality) < Here.Error);
   }
-  BOOST_TEST_MESSAGE("cells told: " << Told << " for " << Ratings
+  BOOST_TEST_MESSAGE("cells sent: " << SentCells << " for " << Ratings
                                     << " ratings");
 }
 
-BOOST_AUTO_TEST_CASE(counts_a_batch_of_ratings_once) {
+BOOST_AUTO_TEST_CASE(counts_a_repeated_batch_of_ratings_once) {
   state_machine State;
   std::string Batch = commandText([](wire::command &Command) {
     Command.mutable_ratings()->set_reporter("e");
--- a/tests/unit/warming_test.cpp
+++ b/tests/unit/warming_test.cpp
@@ -1,4 +1,4 @@
-//===- warming_test.cpp - What cold upstreams get from all gateways -------===//
+//===- warming_test.cpp - Request rate to cold upstreams during warm-up ---===//
 
 #include "boost/test/unit_test.hpp"
 #include "gateway/upstream_table.h"
@@ -12,24 +12,26 @@
 
 namespace {
 
-constexpr double Bears = 18;
+constexpr double RequestsPerSecond = 18;
 constexpr cold_bounds Bounds{.Ratio = 1.5, .Slack = 5};
-constexpr double Bound = Bears * 1.5 + 5;
+constexpr double Bound = RequestsPerSecond * 1.5 + 5;
 
 /// A gateway that always has a request for the cold upstream.
-struct eager_gateway {
-  warmup_group Circle;
+struct saturating_gateway {
+  warmup_group Group;
   warmup_pacer Pace;
-  double From = 0; ///< It has started, or has been told of the others.
+  double From = 0; ///< Time in seconds at which it starts or joins the group.
 };
 
-/// The most requests within any second, over some seconds.
-size_t mostInASecond(std::vector<eager_gateway> Gateways, double Seconds) {
+/// Returns the largest number of requests that all \p Gateways together send
+/// within any one second of a simulation of \p Seconds.
+size_t peakRequestsPerSecond(std::vector<saturating_gateway> Gateways,
+                             double Seconds) {
   std::deque<double> Window;
   size_t Most = 0;
   for (double Now = 0; Now < Seconds; Now += 0.001) {
-    for (eager_gateway &Each : Gateways) {
-      double Share = warmupRate(Bears, Bounds, Each.Circle);
+    for (saturating_gateway &Each : Gateways) {
+      double Share = warmupRate(RequestsPerSecond, Bounds, Each.Group);
       if (Now < Each.From || Share == 0 || !Each.Pace.allows(Now))
         continue;
       Each.Pace.recordRequest(Now, Share);
@@ -42,12 +44,13 @@
   return Most;
 }
 
-/// Gateways that all know each other.
-std::vector<eager_gateway> circleOf(size_t Gateways) {
-  std::vector<eager_gateway> Circle;
+/// Returns \p Gateways gateways that all have the complete group and one rank
+/// each.
+std::vector<saturating_gateway> gatewaysInOneGroup(size_t Gateways) {
+  std::vector<saturating_gateway> Group;
   for (size_t I = 0; I < Gateways; ++I)
-    Circle.push_back({.Circle = {.Gateways = Gateways, .Rank = I}});
-  return Circle;
+    Group.push_back({.Group = {.Gateways = Gateways, .Rank = I}});
+  return Group;
 }
 
 platform::listed_upstream listedCold(double Seconds) {
@@ -58,38 +61,39 @@
 
 BOOST_AUTO_TEST_SUITE(warming)
 
-BOOST_AUTO_TEST_CASE(sends_no_more_than_the_bound_however_many_gateways) {
+BOOST_AUTO_TEST_CASE(stays_within_the_bound_for_any_number_of_gateways) {
   for (size_t Gateways : {1, 2, 3, 7, 16, 21, 32, 103, 410}) {
-    size_t Most = mostInASecond(circleOf(Gateways), 6);
+    size_t Most = peakRequestsPerSecond(gatewaysInOneGroup(Gateways), 6);
     BOOST_TEST_INFO(Gateways << " gateways");
     BOOST_TEST(double(Most) <= Bound);
-    BOOST_TEST(double(Most) >= Bears / 2);
+    BOOST_TEST(double(Most) >= RequestsPerSecond / 2);
   }
 }
 
-BOOST_AUTO_TEST_CASE(keeps_the_bound_while_half_of_the_gateways_know_nothing) {
+BOOST_AUTO_TEST_CASE(stays_within_the_bound_while_gateways_join) {
   std::mt19937_64 Random(7);
   for (size_t Old : {1, 3, 10, 21, 51, 205})
     for (size_t New : {2 * Old, Old + 1, 3 * Old}) {
-      std::vector<eager_gateway> All = circleOf(Old);
-      // Those that came have another view, and any ranks in it.
-      std::vector<eager_gateway> Came = circleOf(New);
-      std::shuffle(Came.begin(), Came.end(), Random);
-      Came.resize(New - Old);
-      for (eager_gateway &Each : Came) {
+      std::vector<saturating_gateway> All = gatewaysInOneGroup(Old);
+      // The gateways that join have a group of the new size and arbitrary ranks
+      // in it.
+      std::vector<saturating_gateway> Joining = gatewaysInOneGroup(New);
+      std::shuffle(Joining.begin(), Joining.end(), Random);
+      Joining.resize(New - Old);
+      for (saturating_gateway &Each : Joining) {
         Each.From = 1 + 0.001 * double(Random() % 1000);
         All.push_back(Each);
       }
       BOOST_TEST_INFO(Old << " gateways became " << New);
-      BOOST_TEST(double(mostInASecond(All, 5)) <= Bound);
+      BOOST_TEST(double(peakRequestsPerSecond(All, 5)) <= Bound);
     }
 }
 
-BOOST_AUTO_TEST_CASE(gives_nothing_to_a_gateway_that_knows_no_other) {
-  BOOST_TEST(warmupRate(Bears, Bounds, {}) == 0);
+BOOST_AUTO_TEST_CASE(rate_is_zero_for_an_unknown_group) {
+  BOOST_TEST(warmupRate(RequestsPerSecond, Bounds, {}) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(bears_odd_limits) {
+BOOST_AUTO_TEST_CASE(rate_is_sane_for_odd_limits) {
   const warmup_group Alone{.Gateways = 1};
   BOOST_TEST(warmupRate(0.5, Bounds, Alone) == 1);
   BOOST_TEST(warmupRate(0.5, {.Ratio = 1, .Slack = 0}, Alone) == 0);
@@ -98,26 +102,26 @@
   BOOST_TEST(warmupRate(4, {.Ratio = 0, .Slack = 0}, Alone) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(begins_and_ends_with_the_list) {
+BOOST_AUTO_TEST_CASE(begins_and_ends_as_listed) {
   upstream_table Table;
   Table.update({listedCold(0)}, 10);
   upstream &Upstream = *Table.ofService("s")[0];
   BOOST_TEST(!Upstream.cold(10));
   Table.update({listedCold(3)}, 11);
   BOOST_TEST(Upstream.cold(11));
-  BOOST_TEST_CONTEXT("it may have turned cold anew before the list tells") {
+  BOOST_TEST_CONTEXT("the cold period ends only when the list says so") {
     BOOST_TEST(Upstream.cold(15));
   }
   Table.update({listedCold(0)}, 16);
   BOOST_TEST(!Upstream.cold(16));
-  BOOST_TEST_CONTEXT("an absurd time is not believed for long") {
+  BOOST_TEST_CONTEXT("an excessive cold time is capped at 60 s") {
     Table.update({listedCold(86400)}, 20);
     BOOST_TEST(Upstream.cold(79));
     BOOST_TEST(!Upstream.cold(81));
   }
 }
 
-BOOST_AUTO_TEST_CASE(is_of_one_incarnation) {
+BOOST_AUTO_TEST_CASE(does_not_carry_over_to_the_next_incarnation) {
   upstream_table Table;
   platform::listed_upstream Listed = listedCold(3);
   Listed.StartedMs = 1000;
@@ -126,7 +130,7 @@
   Listed.ColdSeconds = 0;
   Table.update({Listed}, 11);
   BOOST_TEST(!Table.ofService("s")[0]->cold(11));
-  BOOST_TEST_CONTEXT("what was listed of the one before comes late") {
+  BOOST_TEST_CONTEXT("a stale list of the previous incarnation is ignored") {
     Listed.StartedMs = 1000;
     Listed.ColdSeconds = 3;
     Table.update({Listed}, 12);
@@ -134,7 +138,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(is_supposed_for_a_while_only) {
+BOOST_AUTO_TEST_CASE(assumed_cold_state_expires) {
   upstream Upstream;
   Upstream.assumeCold(3, 10);
   Upstream.assumeCold(1, 10);
--- a/tests/world.cpp
+++ b/tests/world.cpp
@@ -1,4 +1,4 @@
-//===- world.cpp - Real processes with faults between them ----------------===//
+//===- world.cpp - Test environment with real processes -------------------===//
 
 #include "tests/world.h"
 #include "base/clock.h"
@@ -160,7 +160,7 @@
         BOOST_TEST_MESSAGE(Node->Process->logText());
     }
     BOOST_REQUIRE_MESSAGE(steadySeconds() <= End,
-                          "not within " << Seconds << " s: " << What);
+                          "timed out after " << Seconds << " s: " << What);
     ev_run(Loop, EVRUN_ONCE);
   }
 }
@@ -168,7 +168,7 @@
 void world::run(double Seconds) {
   double End = steadySeconds() + Seconds;
   until(
-      "time", [&] { return steadySeconds() >= End; }, Seconds + 10);
+      "time has passed", [&] { return steadySeconds() >= End; }, Seconds + 10);
 }
 
 std::shared_ptr<caller_answer> world::begin(const std::string &Address,
@@ -211,11 +211,10 @@
   double Seconds = Request.Seconds;
   auto Answer = begin(Address, std::move(Request));
   until(
-      "an answer", [&] { return Answer->Done; }, Seconds + 5);
+      "a response", [&] { return Answer->Done; }, Seconds + 5);
   return *Answer;
 }
 
-// A caller that comes back when it is told that its request did not run.
 caller_answer world::ask(const std::string &Address, caller_request Request) {
   caller_answer Answer;
   double End = steadySeconds() + Request.Seconds;
@@ -320,8 +319,8 @@
   return Status.is_object() ? Status : json::object();
 }
 
-// The leader's list alone does not tell: a VM that lost its disk stands in it
-// as a voter until it has asked to join with its new one.
+// The leader's member list alone is not enough: a VM that lost its disk is
+// listed as a voter until it requests to join with its new disk.
 bool world::allVote() {
   for (auto &Node : Control)
     if (!statusOf(*Node).value("member", false))
@@ -334,7 +333,6 @@
                      [](const json &M) { return M["voter"] == true; });
 }
 
-// Until all are voters the loss of one VM may be the loss of the quorum.
 void world::untilAllVote() {
   until("all control VMs are voters", [&] { return allVote(); });
 }
@@ -428,7 +426,7 @@
     untilReady(Node->Health);
   for (auto &[Name, Node] : Sidecars)
     untilReady(Node->Health);
-  // An entry is of use when it has heard of its upstreams.
+  // An entry serves requests only once its upstreams have reported their state.
   for (auto &[Name, Node] : Entries) {
     caller_answer Answer =
         ask(Node->Address.text(), {.Body = chatBody("plan", "warm up")});
@@ -458,9 +456,9 @@
     execv(OLIVEVALVECTL, Raw.data());
     _exit(127);
   }
-  // The loop goes on meanwhile: paths between processes run in it.
+  // The event loop has to run meanwhile because the proxies run in it.
   int Status = 0;
-  until("olivevalvectl ends",
+  until("olivevalvectl exits",
         [&] { return waitpid(Pid, &Status, WNOHANG) == Pid; });
   std::ifstream File(Path);
   std::ostringstream Text;
--- a/tests/world.h
+++ b/tests/world.h
@@ -1,8 +1,9 @@
-//===- world.h - Real processes with faults between them --------*- C++ -*-===//
+//===- world.h - Test environment with real processes -----------*- C++ -*-===//
 //
-// Starts olivevalved processes on loopback with a fault-injecting proxy on
-// every path, stand-ins in this process, and an HTTP client. Waits are bounded
-// and on conditions.
+// Starts olivevalved processes on loopback addresses and connects them through
+// fault-injecting proxies. The model engines, services and the rating service
+// are simulated in the test process, which also has an HTTP client. All waits
+// are for a condition and have a time limit.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,7 +21,8 @@
 
 namespace olivevalve {
 
-/// An address kept for one process: bound here, never listened on.
+/// A loopback address with a free port, reserved for one process. The socket is
+/// bound here but never listens, so that no other process gets the port.
 class reserved_address {
 public:
   reserved_address();
@@ -34,65 +36,80 @@
   std::string Text;
 };
 
-/// What a caller got.
+/// The response that a client has received.
 struct caller_answer {
-  bool Done = false;
-  int Status = 0;
-  std::string Error; ///< Of the transport; a broken stream has one.
+  bool Done = false; ///< The response has ended or the transfer has failed.
+  int Status = 0;    ///< HTTP status; 0 if no response was received.
+  /// Transport error; empty if the response is complete. Also set if a stream
+  /// breaks off.
+  std::string Error;
   std::string Body;
-  std::map<std::string, std::string> Headers; ///< Names in lower case.
+  std::map<std::string, std::string> Headers; ///< Keys are in lower case.
   std::string outcome() const { return header("x-olivevalve-outcome"); }
   std::string version() const { return header("x-olivevalve-version"); }
   std::string upstream() const { return header("x-olivevalve-upstream"); }
   std::string header(const std::string &Name) const;
 };
 
-/// What a caller asks.
+/// A client's request.
 struct caller_request {
   std::string Method = "POST";
   std::string Path = "/v1/chat/completions";
   std::string Body;
+  /// Bearer token of the client account; none is sent if empty.
   std::string Key = "demo-dispatch";
-  std::vector<std::string> Headers;
-  double Seconds = 30;
+  std::vector<std::string> Headers; ///< Whole lines, "Name: value".
+  double Seconds = 30;              ///< Time-out of the whole request.
 };
 
-/// A chat request's body.
+/// Returns the body of a chat completion request.
 std::string chatBody(const std::string &Model, const std::string &Prompt,
                      bool Stream = false);
 
-/// What the operators' client printed, and how it ended.
+/// Output and exit code of olivevalvectl; -1 if a signal terminated it.
 struct ctl_result {
   int ExitCode = -1;
   std::string Text;
 };
 
-/// A booking at the plain service that takes so long.
+/// Returns a request to the service "ledger" with \p Key as its
+/// Idempotency-Key; the service responds after \p Milliseconds.
 caller_request booking(const std::string &Key, int Milliseconds = 0);
 
-/// Model olive-llm with the states of its versions 1 and 2.
+/// Returns a document of the model olive-llm whose versions 1 and 2 have the
+/// given states.
 json modelWith(const std::string &State1, const std::string &State2);
 
-/// Runs of a booking at the stand-in service, from its counts.
+/// Returns how often the simulated service ran the request with the
+/// Idempotency-Key \p Key, according to its counters \p Counts.
 uint64_t runsOf(const json &Counts, const std::string &Key);
 
+/// An olivevalved process with its settings file and log in a folder.
 class daemon_process {
 public:
   daemon_process(std::string Name, std::string Folder, json Settings);
   ~daemon_process();
   daemon_process(const daemon_process &) = delete;
   daemon_process &operator=(const daemon_process &) = delete;
+  /// Writes the settings file and starts the program; can be called again after
+  /// the process has terminated. The log file is appended to.
   void start();
+  /// Does nothing if the process has been reaped.
   void signal(int Number) const;
-  /// The program has taken the signal over, so that it does not end it by
-  /// default. A process does so as its first step, some 0.01 s after start().
+  /// Returns whether the program has installed a handler for the signal or
+  /// ignores it; before that, the signal's default action would terminate it.
+  /// The program does this first, some 0.01 s after start().
   bool handles(int Number) const;
-  /// Kills and reaps.
+  /// Sends SIGKILL and waits for the process to terminate.
   void kill();
+  /// Reaps the process if it has terminated.
   bool running();
+  /// Valid once running() has returned false; 128 + the signal's number if a
+  /// signal terminated the process.
   int exitCode() const { return ExitCode; }
   const std::string &name() const { return Name; }
   std::string logText() const;
+  /// -1 if the process is not running.
   pid_t pid() const { return Pid; }
 
 private:
@@ -103,31 +120,36 @@
   int ExitCode = -1;
 };
 
+/// A control VM.
 struct control_node {
   uint64_t Id = 0;
-  reserved_address Address;
-  reserved_address Operators;
+  reserved_address Address;   ///< For nodes and other control VMs.
+  reserved_address Operators; ///< For operators' HTTP requests.
   std::string Folder;
   std::unique_ptr<daemon_process> Process;
-  /// Paths to this VM, by who uses them: "control-2", "entry-1", ...
+  /// Proxies to this VM by the name of the node that connects through them:
+  /// "control-2", "entry-1", ...
   std::map<std::string, std::unique_ptr<proxy>> Paths;
 };
 
+/// A process in the entry role.
 struct entry_node {
   reserved_address Address;
   reserved_address Health;
   std::unique_ptr<daemon_process> Process;
 };
 
+/// A process in the sidecar role and its simulated engine or service.
 struct sidecar_node {
   std::string Upstream;
   reserved_address Address;
   reserved_address Health;
-  std::unique_ptr<proxy> Path; ///< Entries come through it.
+  std::unique_ptr<proxy> Path; ///< Entries connect through it.
   std::unique_ptr<stand_in> Engine;
   std::unique_ptr<daemon_process> Process;
 };
 
+/// Control VMs, entries and sidecars, as processes, and an HTTP client.
 class world {
 public:
   world();
@@ -135,58 +157,79 @@
   world(const world &) = delete;
   world &operator=(const world &) = delete;
 
+  /// Starts control VMs 1 to \p Count and waits until all are voters.
   void startControl(size_t Count);
   entry_node &startEntry(const std::string &Name,
                          const std::string &DataHall = "charguia");
-  /// Starts a stand-in engine or service and its sidecar.
+  /// Starts a simulated engine or service and its sidecar.
   sidecar_node &startSidecar(const std::string &Upstream,
                              const std::string &DataHall = "charguia");
-  /// Usual set: control VMs, two entries, sidecars a, b (olive-llm@1, @2) and
-  /// led (service ledger), configured and ready.
+  /// Starts and configures the default system and waits until it serves
+  /// requests: control VMs, two entries, the sidecars "a" and "b" (olive-llm@1
+  /// and @2) and the sidecar "led" (service "ledger").
   void startUsual(size_t ControlCount = 3);
+  /// Returns the configuration of the default system.
   json usualConfig();
-  /// Applies objects {"models": {...}, ...}; the answer of control.
+  /// Sends the objects {"models": {...}, ...} to control as one change and
+  /// returns the response.
   json apply(const json &Config, double Seconds = 20);
   json putObject(const std::string &Kind, const std::string &Name,
                  const json &Document, double Seconds = 20);
 
-  /// Runs the loop until \p Condition holds; fails the test after \p Seconds.
+  /// Runs the event loop until \p Condition holds; fails the test if it does
+  /// not within \p Seconds.
   void until(const std::string &What, const std::function<bool()> &Condition,
              double Seconds = 30);
+  /// Runs the event loop for \p Seconds.
   void run(double Seconds);
+  /// Sends a request and returns at once; the response is filled in while the
+  /// event loop runs.
   std::shared_ptr<caller_answer> begin(const std::string &Address,
                                        caller_request Request);
+  /// Sends a request and waits for the response.
   caller_answer call(const std::string &Address, caller_request Request);
+  /// Like call(), but sends the request again while the response says that it
+  /// was not run, for at most Request.Seconds.
   caller_answer ask(const std::string &Address, caller_request Request);
-  /// Calls control, following the leader; null if none answers.
+  /// Sends an operator's request to the control VMs in turn until one handles
+  /// it. Returns the response with its "http_status" added, or null if none
+  /// handles it within \p Seconds.
   json operators(const std::string &Method, const std::string &Path,
                  const json &Body = {}, double Seconds = 20);
-  /// Runs olivevalvectl against all control VMs.
+  /// Runs olivevalvectl with the addresses of all control VMs.
   ctl_result ctl(const std::vector<std::string> &Arguments);
+  /// Returns the counters of the sidecar's simulated engine.
   json engineCounts(const sidecar_node &Sidecar);
+  /// Changes the behaviour of a simulated engine, see stand_in::control(), and
+  /// returns its counters.
   json steerEngine(const stand_in &Engine, const json &Body);
   bool ready(const reserved_address &Health);
   void untilReady(const reserved_address &Health);
+  /// Waits until a control VM leads and returns it.
   control_node &leader();
-  /// What a control VM says of itself; empty if it does not answer.
+  /// Returns the status that a control VM reports; empty if it does not
+  /// respond.
   json statusOf(const control_node &Node);
+  /// Returns whether all control VMs are voters.
   bool allVote();
+  /// Waits until all control VMs are voters. Before that, the loss of one VM
+  /// may cost the quorum.
   void untilAllVote();
-  /// Sets a fault on every path to a control VM, and from it to the others.
+  /// Sets a fault on all paths to a control VM and from it to the others.
   void isolateControl(control_node &Node, proxy_fault Fault);
-  /// On the paths of one node to all control VMs.
+  /// Sets a fault on the paths of the node \p Name to all control VMs.
   void isolateNode(const std::string &Name, proxy_fault Fault);
 
-  /// Added to the settings of every process started from now on.
+  /// Merged into the settings of each process started later.
   json ExtraSettings = json::object();
-  /// Added to the settings of the entry role.
+  /// Merged into the section "entry" of each entry started later.
   json EntrySettings = json::object();
   struct ev_loop *Loop;
   temporary_folder Folder;
   std::vector<std::unique_ptr<control_node>> Control;
   std::map<std::string, std::unique_ptr<entry_node>> Entries;
   std::map<std::string, std::unique_ptr<sidecar_node>> Sidecars;
-  std::unique_ptr<stand_in> Ratings;
+  std::unique_ptr<stand_in> Ratings; ///< The rating service.
 
 private:
   json membersFor(const std::string &User);
