--- a/base/error.cpp
+++ b/base/error.cpp
@@ -18,7 +18,7 @@
 using enum error_kind;
 
 // Indexed by error_kind; a test checks the order.
-constexpr std::array<error_answer, size_t(Last) + 1> Answers = {{
+constexpr std::array<error_response, size_t(Last) + 1> Answers = {{
     {None, "ok", "", 200, outcome::Ran, false, 0},
     {BadRequest, "bad_request", Invalid, 400, outcome::NotRun, false, 0},
     {Unauthorized, "invalid_api_key", Auth, 401, outcome::NotRun, false, 0},
@@ -64,7 +64,7 @@
 
 } // namespace
 
-const error_answer &answerFor(error_kind Kind) {
+const error_response &responseFor(error_kind Kind) {
   return Kind <= Last ? Answers[size_t(Kind)] : Answers[0];
 }
 
@@ -101,7 +101,7 @@
 }
 
 std::string errorBody(error_kind Kind, std::string_view Message) {
-  const error_answer &Answer = answerFor(Kind);
+  const error_response &Answer = responseFor(Kind);
   nlohmann::json Body;
   Body["error"]["message"] = Message;
   Body["error"]["type"] = Answer.Type;
--- a/base/error.h
+++ b/base/error.h
@@ -57,7 +57,7 @@
 enum class outcome : uint8_t { NotRun, Ran, Unknown };
 
 /// The HTTP response for an error kind.
-struct error_answer {
+struct error_response {
   error_kind Kind;
   std::string_view Code; ///< Stable, machine-readable error code.
   std::string_view Type; ///< Error type as in OpenAI's API.
@@ -65,12 +65,12 @@
   outcome Outcome;
   /// The request may be retried at another upstream, provided that repeating it
   /// is safe.
-  bool TryElsewhere;
+  bool RetryElsewhere;
   int RetryAfterSeconds; ///< Value of Retry-After; 0 omits the header.
 };
 
 /// The response for \p Kind; kinds out of range get that of None.
-const error_answer &answerFor(error_kind Kind);
+const error_response &responseFor(error_kind Kind);
 
 /// The value of the X-Olivevalve-Outcome header: "not-run", "ran" or "unknown".
 std::string_view nameOf(outcome Outcome);
--- a/base/loop.cpp
+++ b/base/loop.cpp
@@ -81,21 +81,21 @@
   ev_io_start(Loop, &Watcher);
 }
 
-pause_watch::pause_watch(struct ev_loop *Loop, double MinSeconds,
-                         std::function<void(double)> Callback)
+pause_detector::pause_detector(struct ev_loop *Loop, double MinSeconds,
+                               std::function<void(double)> Callback)
     : Loop(Loop), MinSeconds(MinSeconds), LastTurn(steadySeconds()),
       Callback(std::move(Callback)) {
   ev_check_init(&Watcher, [](struct ev_loop *, ev_check *W, int) {
-    static_cast<pause_watch *>(W->data)->turn();
+    static_cast<pause_detector *>(W->data)->turn();
   });
   ev_set_priority(&Watcher, EV_MAXPRI);
   Watcher.data = this;
   ev_check_start(Loop, &Watcher);
 }
 
-pause_watch::~pause_watch() { ev_check_stop(Loop, &Watcher); }
+pause_detector::~pause_detector() { ev_check_stop(Loop, &Watcher); }
 
-void pause_watch::turn() {
+void pause_detector::turn() {
   double Now = steadySeconds();
   double Seconds = Now - std::exchange(LastTurn, Now);
   if (Seconds >= MinSeconds)
--- a/base/loop.h
+++ b/base/loop.h
@@ -71,15 +71,15 @@
 /// before any other in the loop iteration that detects the pause. Waiting for
 /// events looks like a pause too, so something on the loop, such as a repeating
 /// timer, must wake it more often than the bound.
-class pause_watch {
+class pause_detector {
 public:
   /// \p Callback receives the seconds since the previous loop iteration, which
   /// are at least \p MinSeconds.
-  pause_watch(struct ev_loop *Loop, double MinSeconds,
-              std::function<void(double Seconds)> Callback);
-  ~pause_watch();
-  pause_watch(const pause_watch &) = delete;
-  pause_watch &operator=(const pause_watch &) = delete;
+  pause_detector(struct ev_loop *Loop, double MinSeconds,
+                 std::function<void(double Seconds)> Callback);
+  ~pause_detector();
+  pause_detector(const pause_detector &) = delete;
+  pause_detector &operator=(const pause_detector &) = delete;
 
 private:
   void turn();
--- a/bench/bench.h
+++ b/bench/bench.h
@@ -45,14 +45,14 @@
 };
 
 /// Requests that all gateways together send to a cold upstream.
-struct warming_row {
+struct warmup_row {
   std::string Scenario;
   std::string Policy;
-  double MostInASecond = 0; ///< Most requests within any one second.
+  double MaxSentInASecond = 0; ///< Most requests within any one second.
   double Bound = 0;         ///< Highest number allowed within any one second.
   double SentPerSecond = 0; ///< Mean over the run.
 };
-std::vector<warming_row> benchWarming();
+std::vector<warmup_row> benchWarmup();
 
 /// Cost and quality of a policy that chooses versions. A cell is one template
 /// for one client account; each cell has a quality target.
@@ -72,7 +72,7 @@
   std::string Workload;
   std::string Policy;
   seed_spread Cost;
-  seed_spread OverBound; ///< Cost divided by that of the bound.
+  seed_spread CostOverBound; ///< Cost divided by that of the bound.
   seed_spread WorstShortfall;
   seed_spread CellsMet;
 };
@@ -88,7 +88,7 @@
   double StoppedShare = 0;
   /// Share of runs in which the version was stopped for exactly the template or
   /// client account for which it is bad.
-  double InPartShare = 0;
+  double PartialStopShare = 0;
   /// Requests of the run until the new version got all traffic; -1 if it never
   /// did.
   double MedianSettled = 0;
@@ -101,8 +101,8 @@
 /// How many roll-outs of good versions were stopped by mistake.
 struct false_stop_row {
   int Rollouts = 0;
-  int Stopped = 0;       ///< For all requests.
-  int StoppedInPart = 0; ///< For a template or client account.
+  int Stopped = 0;      ///< For all requests.
+  int PartialStops = 0; ///< For a template or client account.
 };
 false_stop_row benchFalseStops();
 
@@ -116,7 +116,7 @@
   /// Share of requests whose prefix was in the replica's KV cache.
   double PrefixHits = 0;
   /// Share of load samples that a sidecar reported to the entries.
-  double NewsShare = 0;
+  double ReportShare = 0;
 };
 std::vector<replica_row> benchReplicas(decision_signature &Signature);
 
@@ -152,15 +152,15 @@
 struct placement_row {
   std::string Scenario;
   std::string Policy;
-  double Unserved = 0;  ///< Share of demand.
-  double Loads = 0;     ///< Versions loaded within an hour.
-  double MostLoads = 0; ///< Highest number of concurrent loads.
+  double Unserved = 0;            ///< Share of demand.
+  double Loads = 0;               ///< Versions loaded within an hour.
+  double PeakConcurrentLoads = 0; ///< Highest number of concurrent loads.
 };
 std::vector<placement_row> benchPlacement(decision_signature &Signature);
 
 /// Traffic and error of the estimates at one node that polls control for
 /// updates each second.
-struct news_row {
+struct estimate_update_row {
   std::string Scenario;
   /// Mean size of an update, which holds only cells that have changed.
   double BytesPerSecond = 0;
@@ -170,9 +170,9 @@
   double Behind = 0;
   /// Largest difference between the estimates of node and control, in standard
   /// errors.
-  double WorstOff = 0;
+  double MaxEstimateError = 0;
 };
-std::vector<news_row> benchNews();
+std::vector<estimate_update_row> benchEstimateUpdates();
 
 } // namespace olivevalve
 
--- a/bench/choice.cpp
+++ b/bench/choice.cpp
@@ -352,7 +352,7 @@
         Out.Workload = Row.Workload;
         Out.Policy = Row.Policy;
         Out.Cost.add(Row.CostPerThousand);
-        Out.OverBound.add(Row.CostPerThousand / Bound.CostPerThousand);
+        Out.CostOverBound.add(Row.CostPerThousand / Bound.CostPerThousand);
         Out.WorstShortfall.add(Row.WorstShortfall);
         Out.CellsMet.add(Row.CellsMet);
       };
--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -33,15 +33,15 @@
   for (const rollout_row &Row : Rollout)
     std::printf("%-32s %-20s %9.0f %9.0f %8.0f%% %8.0f%% %9.0f\n",
                 Row.Scenario.c_str(), Row.Policy.c_str(), Row.MedianExposed,
-                Row.WorstExposed, 100 * Row.StoppedShare, 100 * Row.InPartShare,
-                Row.MedianSettled);
+                Row.WorstExposed, 100 * Row.StoppedShare,
+                100 * Row.PartialStopShare, Row.MedianSettled);
   std::printf("\n%-32s %-20s %9s %9s %9s %9s %9s\n", "REPLICAS", "POLICY",
               "MEAN ms", "P95 ms", "P99 ms", "WARM", "NEWS");
   for (const replica_row &Row : Replicas)
     std::printf("%-32s %-20s %9.1f %9.1f %9.1f %8.0f%% %8.0f%%\n",
                 Row.Scenario.c_str(), Row.Policy.c_str(), Row.MeanWaitMs,
                 Row.P95WaitMs, Row.P99WaitMs, 100 * Row.PrefixHits,
-                100 * Row.NewsShare);
+                100 * Row.ReportShare);
 }
 
 json toJson(const std::vector<choice_row> &Choice,
@@ -63,7 +63,7 @@
                               {"median_exposed", Row.MedianExposed},
                               {"worst_exposed", Row.WorstExposed},
                               {"stopped_share", Row.StoppedShare},
-                              {"in_part_share", Row.InPartShare},
+                              {"in_part_share", Row.PartialStopShare},
                               {"median_settled", Row.MedianSettled}});
   for (const replica_row &Row : Replicas)
     Out["replicas"].push_back({{"scenario", Row.Scenario},
@@ -72,7 +72,7 @@
                                {"p95_wait_ms", Row.P95WaitMs},
                                {"p99_wait_ms", Row.P99WaitMs},
                                {"prefix_hits", Row.PrefixHits},
-                               {"news_share", Row.NewsShare}});
+                               {"news_share", Row.ReportShare}});
   return Out;
 }
 
@@ -82,7 +82,7 @@
   for (const placement_row &Row : Placement)
     std::printf("%-32s %-20s %8.2f%% %9.0f %9.0f\n", Row.Scenario.c_str(),
                 Row.Policy.c_str(), 100 * Row.Unserved, Row.Loads,
-                Row.MostLoads);
+                Row.PeakConcurrentLoads);
 }
 
 json toJson(const std::vector<placement_row> &Placement) {
@@ -92,37 +92,37 @@
                     {"policy", Row.Policy},
                     {"unserved", Row.Unserved},
                     {"loads", Row.Loads},
-                    {"most_loads", Row.MostLoads}});
+                    {"most_loads", Row.PeakConcurrentLoads}});
   return Rows;
 }
 
-void printWarmup(const std::vector<warming_row> &Warmup) {
+void printWarmup(const std::vector<warmup_row> &Warmup) {
   std::printf("\n%-32s %-20s %14s %9s %9s\n", "COLD UPSTREAM", "POLICY",
               "MOST IN 1 s", "BOUND", "SENT/s");
-  for (const warming_row &Row : Warmup)
+  for (const warmup_row &Row : Warmup)
     std::printf("%-32s %-20s %14.0f %9.0f %9.1f\n", Row.Scenario.c_str(),
-                Row.Policy.c_str(), Row.MostInASecond, Row.Bound,
+                Row.Policy.c_str(), Row.MaxSentInASecond, Row.Bound,
                 Row.SentPerSecond);
 }
 
-json toJson(const std::vector<warming_row> &Warmup) {
+json toJson(const std::vector<warmup_row> &Warmup) {
   json Rows = json::array();
-  for (const warming_row &Row : Warmup)
+  for (const warmup_row &Row : Warmup)
     Rows.push_back({{"scenario", Row.Scenario},
                     {"policy", Row.Policy},
-                    {"most_in_a_second", Row.MostInASecond},
+                    {"most_in_a_second", Row.MaxSentInASecond},
                     {"bound", Row.Bound},
                     {"sent_per_second", Row.SentPerSecond}});
   return Rows;
 }
 
-void printEstimateUpdates(const std::vector<news_row> &Updates) {
+void printEstimateUpdates(const std::vector<estimate_update_row> &Updates) {
   std::printf("\n%-32s %12s %12s %9s %9s\n", "UPDATES OF ESTIMATES", "BYTES/s",
               "WHOLE TABLE", "BEHIND", "OFF (SE)");
-  for (const news_row &Row : Updates)
+  for (const estimate_update_row &Row : Updates)
     std::printf("%-32s %12.0f %12.0f %9.0f %9.2f\n", Row.Scenario.c_str(),
                 Row.BytesPerSecond, Row.WholeTableBytes, Row.Behind,
-                Row.WorstOff);
+                Row.MaxEstimateError);
 }
 
 std::string spreadText(const seed_spread &Spread, int Digits) {
@@ -138,13 +138,13 @@
   for (const choice_spread_row &Row : benchChoiceSpread())
     std::printf("%-26s %-20s %18s %16s %18s %16s\n", Row.Workload.c_str(),
                 Row.Policy.c_str(), spreadText(Row.Cost, 0).c_str(),
-                spreadText(Row.OverBound, 2).c_str(),
+                spreadText(Row.CostOverBound, 2).c_str(),
                 spreadText(Row.WorstShortfall, 4).c_str(),
                 spreadText(Row.CellsMet, 2).c_str());
   false_stop_row Stops = benchFalseStops();
   std::printf(
       "\nFALSE STOPS: %d in full and %d in part, of %d good roll-outs\n",
-      Stops.Stopped, Stops.StoppedInPart, Stops.Rollouts);
+      Stops.Stopped, Stops.PartialStops, Stops.Rollouts);
   std::printf("\n%-6s %-18s %-8s %16s %16s %16s %16s\n", "LOAD",
               "WAITS, 20 SEEDS", "CLASS", "P50 ms", "P95 ms", "P99 ms", "SHED");
   auto Print = [](const wait_row &Row, const char *Class,
@@ -192,15 +192,15 @@
   if (Json) {
     json Out = toJson(Choice, Rollout, Replicas);
     Out["placement"] = toJson(Placement);
-    Out["warming"] = toJson(benchWarming());
+    Out["warming"] = toJson(benchWarmup());
     Out["bench"] = Signature.value();
     std::printf("%s\n", Out.dump(2).c_str());
     return 0;
   }
   printText(Choice, Rollout, Replicas);
   printPlacement(Placement);
-  printWarmup(benchWarming());
-  printEstimateUpdates(benchNews());
+  printWarmup(benchWarmup());
+  printEstimateUpdates(benchEstimateUpdates());
   std::printf("\nBench: %llu\n", (unsigned long long)Signature.value());
   return 0;
 }
--- a/bench/news.cpp
+++ b/bench/news.cpp
@@ -51,13 +51,13 @@
   return Rating;
 }
 
-news_row runUpdates(const update_scenario &Size) {
+estimate_update_row runUpdates(const update_scenario &Size) {
   std::mt19937_64 Random(11);
   catalog Catalog;
   rating_store Store;
   estimates AtNode;
   uint64_t ReceivedIndex = 0;
-  news_row Row{Size.Name};
+  estimate_update_row Row{Size.Name};
   for (int Second = 0; Second < Seconds; ++Second) {
     for (int I = 0; I < Size.RatingsPerSecond; ++I)
       Store.add(makeRating(Random, Size), Catalog);
@@ -76,15 +76,16 @@
   for (const auto &[Key, Sums] : Store.quality().cells()) {
     estimate AtControl = Store.quality().of(Key, 1);
     double Deviation = std::abs(AtNode.of(Key, 1).Quality - AtControl.Quality);
-    Row.WorstOff = std::max(Row.WorstOff, Deviation / AtControl.Error);
+    Row.MaxEstimateError =
+        std::max(Row.MaxEstimateError, Deviation / AtControl.Error);
   }
   return Row;
 }
 
 } // namespace
 
-std::vector<news_row> benchNews() {
-  std::vector<news_row> Rows;
+std::vector<estimate_update_row> benchEstimateUpdates() {
+  std::vector<estimate_update_row> Rows;
   for (const update_scenario &Size : Sizes)
     Rows.push_back(runUpdates(Size));
   return Rows;
--- a/bench/placement.cpp
+++ b/bench/placement.cpp
@@ -109,7 +109,8 @@
         All += Requests;
       Unserved += unserved(Now);
     }
-    return {Scenario.Name, Policy, Unserved / All, double(Loads), MostLoads};
+    return {Scenario.Name, Policy, Unserved / All, double(Loads),
+            PeakConcurrentLoads};
   }
 
 private:
@@ -134,7 +135,8 @@
     R.Assigned = Step->Assigned;
     std::erase_if(R.Loaded,
                   [&](const auto &Name) { return !R.Assigned.contains(Name); });
-    MostLoads = std::max(MostLoads, double(LoadsEnd.size()));
+    PeakConcurrentLoads =
+        std::max(PeakConcurrentLoads, double(LoadsEnd.size()));
   }
 
   void finishLoads(int T) {
@@ -185,7 +187,7 @@
   demand Smoothed;
   std::map<std::pair<size_t, version_name>, double> LoadsEnd;
   int Loads = 0;
-  double MostLoads = 0;
+  double PeakConcurrentLoads = 0;
 };
 
 } // namespace
--- a/bench/pool_run.cpp
+++ b/bench/pool_run.cpp
@@ -133,7 +133,7 @@
   auto Shed = R.Waiting.push({.Ticket = Ticket,
                               .Priority = Request.Priority,
                               .Arrived = Now,
-                              .Deadline = Now + Pool.LongestWait});
+                              .Deadline = Now + Pool.MaxWaitSeconds});
   if (Shed)
     shed(*Shed);
   startNext(R, Now);
--- a/bench/pool_run.h
+++ b/bench/pool_run.h
@@ -36,7 +36,7 @@
   /// Share of requests with priority 0; the others have priority 2.
   double UrgentShare = 0;
   /// Seconds in the queue after which a request is shed.
-  double LongestWait = 1e9;
+  double MaxWaitSeconds = 1e9;
   int Requests = 60000;
   /// How often a request that was queued may be moved to another replica.
   int Moves = 0;
@@ -61,9 +61,9 @@
   std::deque<int> Warm; ///< Cached prefixes, the least recently used first.
   double Speed = 1;     ///< Relative; 0.5 takes twice the time.
   std::array<view, BenchEntries> Views{};
-  double SampledAt = 0;  ///< When the sidecar last sampled its load.
-  double ReportedAt = 0; ///< When it last reported to all entries.
-  sidecar_load LastReport;  ///< What it then reported.
+  double SampledAt = 0;    ///< When the sidecar last sampled its load.
+  double ReportedAt = 0;   ///< When it last reported to all entries.
+  sidecar_load LastReport; ///< What it then reported.
 
   /// Updates the view of one entry to the current state.
   void reportTo(size_t Entry, double Now);
--- a/bench/replicas.cpp
+++ b/bench/replicas.cpp
@@ -89,7 +89,7 @@
           .P95WaitMs = Run.Others.quantileMs(0.95),
           .P99WaitMs = Run.Others.quantileMs(0.99),
           .PrefixHits = double(Run.WarmHits) / Pool.Requests,
-          .NewsShare = Run.Reports / Run.LoadSamples};
+          .ReportShare = Run.Reports / Run.LoadSamples};
 }
 
 wait_row measureWaits(double Load, const std::string &Policy,
@@ -98,7 +98,7 @@
   for (uint64_t Seed = 0; Seed < Seeds; ++Seed) {
     bench_pool Pool{.Load = Load,
                     .UrgentShare = UrgentShare,
-                    .LongestWait = 10,
+                    .MaxWaitSeconds = 10,
                     .Requests = 15000,
                     .Moves = Moves};
     pool_run Run(Pool, FirstSeed + Seed);
--- a/bench/rollout.cpp
+++ b/bench/rollout.cpp
@@ -267,7 +267,7 @@
   std::vector<double> Settled;
   for (const run_result &Result : Results) {
     Exposed.push_back(Result.Exposed);
-    Row.InPartShare += Result.InPart ? 1.0 / double(Results.size()) : 0;
+    Row.PartialStopShare += Result.InPart ? 1.0 / double(Results.size()) : 0;
     Row.StoppedShare += Result.Stopped ? 1.0 / double(Results.size()) : 0;
     if (Result.SettledAt >= 0)
       Settled.push_back(Result.SettledAt);
@@ -308,7 +308,7 @@
     run_result Result =
         runOlivevalve(Scenarios[0], FirstSeed + uint64_t(Run), None);
     Row.Stopped += Result.Stopped ? 1 : 0;
-    Row.StoppedInPart += Result.AnyPart ? 1 : 0;
+    Row.PartialStops += Result.AnyPart ? 1 : 0;
   }
   return Row;
 }
--- a/bench/warming.cpp
+++ b/bench/warming.cpp
@@ -66,7 +66,7 @@
   return Gateways;
 }
 
-warming_row runScenario(size_t Count, bool HalfStart, limit_policy Limit) {
+warmup_row runScenario(size_t Count, bool HalfStart, limit_policy Limit) {
   std::vector<cold_gateway> Gateways = gatewaysFor(Count, HalfStart);
   std::mt19937_64 Random(17);
   std::poisson_distribution<int> Arrivals(ArrivalsPerSecond * StepSeconds);
@@ -90,15 +90,15 @@
   std::string Scenario = std::to_string(Count) + " gateways";
   return {.Scenario = Scenario + (HalfStart ? ", half start" : ""),
           .Policy = std::string(LimitNames[size_t(Limit)]),
-          .MostInASecond = double(MaxInWindow),
+          .MaxSentInASecond = double(MaxInWindow),
           .Bound = ColdRate * Bounds.Ratio + Bounds.Slack,
           .SentPerSecond = double(Sent) / Seconds};
 }
 
 } // namespace
 
-std::vector<warming_row> benchWarming() {
-  std::vector<warming_row> Rows;
+std::vector<warmup_row> benchWarmup() {
+  std::vector<warmup_row> Rows;
   for (size_t Count : GatewayCounts)
     for (bool HalfStart : {false, true})
       for (limit_policy Limit : {limit_policy::Unbounded, limit_policy::ByCount,
--- a/control/operator_api.cpp
+++ b/control/operator_api.cpp
@@ -25,8 +25,8 @@
 
 void refuse(http_exchange &Exchange, error_kind Kind,
             std::string_view Message) {
-  const error_answer &Answer = answerFor(Kind);
-  std::vector<head_line> Headers = {
+  const error_response &Answer = responseFor(Kind);
+  std::vector<header_field> Headers = {
       {"X-Olivevalve-Outcome", std::string(nameOf(Answer.Outcome))}};
   Exchange.reply(Answer.HttpStatus, Json, errorBody(Kind, Message), Headers);
 }
--- a/control/routing_api.cpp
+++ b/control/routing_api.cpp
@@ -23,7 +23,7 @@
 
 void refuse(http_exchange &Exchange, error_kind Kind,
             std::string_view Message) {
-  Exchange.reply(answerFor(Kind).HttpStatus, Json, errorBody(Kind, Message));
+  Exchange.reply(responseFor(Kind).HttpStatus, Json, errorBody(Kind, Message));
 }
 
 std::string_view stateName(wire::rollout_stage Stage) {
--- a/ctl/operator_client.cpp
+++ b/ctl/operator_client.cpp
@@ -22,7 +22,7 @@
 
 error_kind kindForCode(const std::string &Code) {
   for (uint32_t I = 0; I <= uint32_t(error_kind::Last); ++I)
-    if (answerFor(error_kind(I)).Code == Code)
+    if (responseFor(error_kind(I)).Code == Code)
       return error_kind(I);
   return error_kind::BadRequest;
 }
--- a/daemon/node.cpp
+++ b/daemon/node.cpp
@@ -19,7 +19,7 @@
 
 node::node(struct ev_loop *Loop, const settings &Settings, link_keys Keys)
     : Loop(Loop), Settings(Settings), Context(std::move(Keys)),
-      Gatekeeper(Context, Loop),
+      LinkAuthenticator(Context, Loop),
       Health(Loop, {.MaxBodyBytes = 1024, .MaxConnections = 50},
              [this](const std::shared_ptr<http_exchange> &Exchange) {
                handleHealth(Exchange);
@@ -108,7 +108,7 @@
 
 void node::updateTrafficMetrics() {
   for (size_t Kind = 0; Kind < link_traffic::Kinds; ++Kind) {
-    const kind_traffic &Traffic = Context.traffic().ByKind[Kind];
+    const message_traffic &Traffic = Context.traffic().ByKind[Kind];
     if (Traffic.SentMessages + Traffic.ReceivedMessages == 0)
       continue;
     std::string_view Name = trafficKindName(Kind);
--- a/daemon/node.h
+++ b/daemon/node.h
@@ -46,7 +46,7 @@
   settings Settings;
   metrics Metrics;
   link_context Context;
-  gatekeeper Gatekeeper;
+  link_authenticator LinkAuthenticator;
   std::unique_ptr<control_task> Control;
   std::unique_ptr<sidecar_task> Sidecar;
   std::unique_ptr<entry_task> Entry;
--- a/entry/entry_task.cpp
+++ b/entry/entry_task.cpp
@@ -111,9 +111,9 @@
 
 void entry_task::refuse(http_exchange &Exchange, const absl::Status &Status) {
   error_kind Kind = kindOf(Status);
-  const error_answer &Answer = answerFor(Kind);
+  const error_response &Answer = responseFor(Kind);
   Metrics.count("errors", Answer.Code);
-  std::vector<head_line> Headers = {
+  std::vector<header_field> Headers = {
       {"X-Olivevalve-Outcome", std::string(nameOf(Answer.Outcome))}};
   if (Answer.RetryAfterSeconds > 0)
     Headers.push_back(
--- a/entry/request_claims.cpp
+++ b/entry/request_claims.cpp
@@ -59,7 +59,7 @@
     return refuse(kindFromNumber(Result.kind()), Result.body());
   if (Result.finished()) {
     Stage = stage::Answered;
-    std::vector<head_line> Headers = headers();
+    std::vector<header_field> Headers = headers();
     Headers.push_back({"X-Olivevalve-Replayed", "true"});
     Exchange->reply(int(Result.status()), Result.content_type(), Result.body(),
                     Headers);
--- a/entry/request_task.cpp
+++ b/entry/request_task.cpp
@@ -219,10 +219,10 @@
   if (Kind == error_kind::VersionWithdrawn && MayChoose && chooseAnother())
     return;
   bool CanRetry =
-      answerFor(Kind).TryElsewhere || Kind == error_kind::NoUpstream;
+      responseFor(Kind).RetryElsewhere || Kind == error_kind::NoUpstream;
   if (CanRetry && InTime && AttemptCount - uint32_t(MoveCount) < MaxAttempts &&
       (!UsesBudget || Context.Retries.take())) {
-    Context.Metrics.count("retries", answerFor(Kind).Code);
+    Context.Metrics.count("retries", responseFor(Kind).Code);
     return sendAttempt();
   }
   releaseClaim();
@@ -497,7 +497,7 @@
     return Exchange->finish();
   std::string Body = std::move(Answer);
   Answer.clear();
-  std::vector<head_line> Headers = headers();
+  std::vector<header_field> Headers = headers();
   Headers.push_back(
       {"X-Olivevalve-Cost", std::to_string(double(CostMicros) * 1e-6)});
   Exchange->reply(Status, ContentType, std::move(Body), Headers);
@@ -530,8 +530,8 @@
   finishTask();
 }
 
-std::vector<head_line> request_task::headers() const {
-  std::vector<head_line> Headers = {{"X-Request-Id", Facts.Id}};
+std::vector<header_field> request_task::headers() const {
+  std::vector<header_field> Headers = {{"X-Request-Id", Facts.Id}};
   if (!Version.Model.empty()) {
     Headers.push_back({"X-Olivevalve-Model", Version.Model});
     Headers.push_back({"X-Olivevalve-Version", Version.Version});
@@ -543,7 +543,7 @@
 
 // The last attempt certainly did not run, but an earlier one may have.
 error_kind request_task::kindToReport(error_kind Kind) const {
-  if (!MayHaveRun || answerFor(Kind).Outcome != outcome::NotRun)
+  if (!MayHaveRun || responseFor(Kind).Outcome != outcome::NotRun)
     return Kind;
   return Kind == error_kind::DeadlineExceeded ? error_kind::DeadlineUnknown
                                               : error_kind::EngineFailed;
@@ -559,7 +559,7 @@
     Status = 200;
     return deliver();
   }
-  const error_answer &Reply = answerFor(Kind);
+  const error_response &Reply = responseFor(Kind);
   if (Reply.Outcome == outcome::Unknown)
     abandonClaim();
   Context.Metrics.count("errors", Reply.Code);
@@ -572,7 +572,7 @@
     Exchange->abort();
     return finishTask();
   }
-  std::vector<head_line> Headers = headers();
+  std::vector<header_field> Headers = headers();
   Headers.push_back(
       {"X-Olivevalve-Outcome", std::string(nameOf(Reply.Outcome))});
   if (Reply.RetryAfterSeconds > 0)
--- a/entry/request_task.h
+++ b/entry/request_task.h
@@ -168,7 +168,7 @@
   void onDelivered();
   /// Records \p Value for the client account and for the priority class.
   void record(measure Measure, double Value) const;
-  std::vector<head_line> headers() const;
+  std::vector<header_field> headers() const;
   /// The error to report: weakened to one with an unknown outcome if \p Kind
   /// says "not run" but an earlier attempt may have run.
   error_kind kindToReport(error_kind Kind) const;
--- a/gateway/answering.cpp
+++ b/gateway/answering.cpp
@@ -75,7 +75,7 @@
   Answer = {.Status = AnswerHead.Status,
             .Reason = AnswerHead.Reason,
             .NotRun = AnswerFacts.NotRun};
-  for (const head_line &Line : AnswerHead.Lines)
+  for (const header_field &Line : AnswerHead.Lines)
     if (!sameHeader(Line.Name, "Content-Length") &&
         !platform::isHopByHop(AnswerHead, Line.Name) &&
         !(Answer.NotRun && platform::isRetryAfter(Line.Name)))
@@ -96,7 +96,8 @@
   if (!Hints.MalformedRetryAfter.empty())
     logLine(log_level::Warning,
             "upstream's Retry-After is not a number of seconds",
-            {{"upstream", Upstream->Listed.Id}, {"value", Hints.MalformedRetryAfter}});
+            {{"upstream", Upstream->Listed.Id},
+             {"value", Hints.MalformedRetryAfter}});
   if (!Hints.BackoffSeconds)
     return;
   Upstream->backOff(*Hints.BackoffSeconds, Now);
@@ -112,7 +113,7 @@
   uint64_t Sum = uint64_t(Load.Running) + Load.Waiting;
   auto Requests = uint32_t(std::min<uint64_t>(Sum, MaxReportedRequests));
   Upstream->recordLoad(Requests, steadySeconds(),
-                      State.Peers->at(Upstream->Key).InFlight);
+                       State.Peers->at(Upstream->Key).InFlight);
   State.Peers->reportLoad(*Upstream, Requests);
 }
 
@@ -121,8 +122,8 @@
   if (!HeadSent)
     return deliver();
   if (Facts.Model)
-    State.ServicePaces[Service].recordResponse(FirstTokenOverheadSeconds + steadySeconds() -
-                                      HeadReceivedAt);
+    State.ServicePaces[Service].recordResponse(
+        FirstTokenOverheadSeconds + steadySeconds() - HeadReceivedAt);
   leaveUpstream();
   Caller->finish();
   complete("served", Answer.Status);
@@ -175,7 +176,7 @@
     if (OtherIncarnation) {
       Upstream->markLeaving();
       State.Crashes->recordCrash(watchedUpstream(*Upstream),
-                           "another has its address");
+                                 "another has its address");
       State.Peers->reportCrash(*Upstream);
       --Attempts; // The intended one has crashed.
       Answer = {};
@@ -222,7 +223,8 @@
              {"others_there", int64_t(Upstream->InFlight) - 1}});
   if (Where == broken_at::Refused) {
     Upstream->presumeCrashed(steadySeconds());
-    State.Crashes->recordCrash(watchedUpstream(*Upstream), "connection refused");
+    State.Crashes->recordCrash(watchedUpstream(*Upstream),
+                               "connection refused");
     State.Peers->reportCrash(*Upstream);
   } else if (Sent && Where != broken_at::Garbled) {
     recordInterruption();
@@ -250,7 +252,7 @@
 
 // If all upstreams are backing off: a time after the first of them takes
 // requests again, with jitter so that callers do not all retry at once.
-head_line forwarding::retryAfterLine() {
+header_field forwarding::retryAfterLine() {
   double Soonest =
       Route ? State.Upstreams.soonestBackoffEnd(Service, steadySeconds()) : 0;
   double Seconds =
@@ -277,8 +279,8 @@
 
 void forwarding::giveUp(error_kind Kind, std::string_view Why) {
   leaveUpstream();
-  const error_answer &Error = answerFor(Kind);
-  std::vector<head_line> Lines = {
+  const error_response &Error = responseFor(Kind);
+  std::vector<header_field> Lines = {
       {"Content-Type", "application/json"},
       {"X-Olivevalve-Outcome", std::string(nameOf(Error.Outcome))}};
   if (Error.HttpStatus == 503)
@@ -311,7 +313,7 @@
   touchSession();
   // A caller with part of a response must see that it is incomplete.
   if (Status == 0 && Caller)
-    Caller->breakOff();
+    Caller->abortResponse();
   Caller = nullptr;
   std::string_view Name = Route ? std::string_view(Route->Name) : "none";
   State.Metrics->count("requests", Status >= 200 && Status < 300 ? "served"
--- a/gateway/forwarding.h
+++ b/gateway/forwarding.h
@@ -49,7 +49,7 @@
 };
 
 /// One request, from its arrival to its final response.
-class forwarding : public caller_user,
+class forwarding : public response_producer,
                    public upstream_user,
                    public std::enable_shared_from_this<forwarding> {
 public:
@@ -126,7 +126,7 @@
   void releasePrompt();
   std::span<const prompt_block> uncachedBlocks() const;
   void forwardEvents(std::string_view Bytes);
-  head_line retryAfterLine();
+  header_field retryAfterLine();
   void deliver();
   void finish();
   void complete(std::string_view Outcome, int Status);
--- a/gateway/gateway_task.cpp
+++ b/gateway/gateway_task.cpp
@@ -178,7 +178,8 @@
     State.Metrics->count("told_ended",
                          PresumedCrashed ? "passed over" : "not heeded");
     if (auto Upstream = State.Upstreams.at(Key))
-      Crashes.recordCrash(watchedUpstream(*Upstream), "told by another gateway");
+      Crashes.recordCrash(watchedUpstream(*Upstream),
+                          "told by another gateway");
   };
   Watch.OnUpstreams = [this](double Age, const wire::notice &Notice) {
     applyControlList(Age, Notice);
@@ -215,7 +216,7 @@
       State.Routing ? State.Routing->service(Upstream.Listed.Service) : nullptr;
   if (Service && Service->ColdStartSeconds > 0)
     Upstream.assumeCold(Service->ColdStartSeconds + ListLagSeconds,
-                         steadySeconds());
+                        steadySeconds());
 }
 
 void gateway_task::setGatewayCount(uint32_t Gateways) {
@@ -241,7 +242,7 @@
         Requests.erase(It);
       });
   Requests[Request.get()] = Request;
-  Connection.answeredBy(Request);
+  Connection.setProducer(Request);
   if (Draining)
     return Request->refuse(error_kind::Draining, "this entry is stopping");
   Request->start();
@@ -475,7 +476,7 @@
 void gateway_task::drain() {
   Stopping = Draining = true;
   Listener.close();
-  Callers.closeResting();
+  Callers.closeIdle();
 }
 
 void gateway_task::abortRequests() {
--- a/gateway/gateway_task.h
+++ b/gateway/gateway_task.h
@@ -125,7 +125,7 @@
   timer ListTimer;
   timer CatchUpTimer;
   before_wait Prepare;
-  pause_watch Pauses;
+  pause_detector Pauses;
 };
 
 } // namespace olivevalve
--- a/gateway/spare_answer.h
+++ b/gateway/spare_answer.h
@@ -21,7 +21,7 @@
 struct buffered_response {
   int Status = 0; ///< HTTP status; 0: no response.
   std::string Reason;
-  std::vector<head_line> Lines;
+  std::vector<header_field> Lines;
   std::string Body; ///< Empty for event streams.
   /// The upstream reported that it did not run the request.
   bool NotRun = false;
--- a/gateway/upstream_connection.cpp
+++ b/gateway/upstream_connection.cpp
@@ -107,7 +107,8 @@
   upstream_user *Old = std::exchange(User, nullptr);
   bool Reusable = Head.KeepAlive && !Surplus && Stream.open() &&
                   !Upstream->Gone && idleSecondsOf(Head) > IdleMarginSeconds;
-  if (Head.find("Connection") && Head.isTied("close") && !Facts.NotRun)
+  if (Head.find("Connection") && Head.isConnectionOption("close") &&
+      !Facts.NotRun)
     Reusable = false;
   if (Reusable) {
     IdleSince = steadySeconds();
--- a/net/caller_connection.cpp
+++ b/net/caller_connection.cpp
@@ -132,12 +132,12 @@
 
 std::string
 caller_connection::headOf(int Status, std::string_view Reason,
-                          const std::vector<head_line> &Lines) const {
+                          const std::vector<header_field> &Lines) const {
   std::string Out;
   Out.reserve(512);
   Out.append("HTTP/1.1 ").append(std::to_string(Status)).append(" ");
   Out.append(Reason).append("\r\n");
-  for (const head_line &Line : Lines)
+  for (const header_field &Line : Lines)
     Out.append(Line.Name).append(": ").append(Line.Value).append("\r\n");
   if (!KeepAlive)
     Out.append("Connection: close\r\n");
@@ -148,13 +148,13 @@
 }
 
 void caller_connection::writeWhole(int Status, std::string_view Reason,
-                                   const std::vector<head_line> &Lines,
+                                   const std::vector<header_field> &Lines,
                                    std::string_view ResponseBody) {
   if (Ended)
     return;
   Chunked = EndsByClose = false;
   KeepAlive = KeepAlive && !Host.closesAfterAnswer();
-  std::vector<head_line> All = Lines;
+  std::vector<header_field> All = Lines;
   if (!hasNoBody(Status))
     All.push_back({"Content-Length", std::to_string(ResponseBody.size())});
   std::string Bytes = headOf(Status, Reason, All);
@@ -164,7 +164,7 @@
 }
 
 void caller_connection::begin(int Status, std::string_view Reason,
-                              const std::vector<head_line> &Lines) {
+                              const std::vector<header_field> &Lines) {
   if (Ended)
     return;
   KeepAlive = KeepAlive && !Host.closesAfterAnswer();
@@ -173,7 +173,7 @@
   Chunked = !Reader.head().IsHttp10;
   EndsByClose = !Chunked;
   KeepAlive = KeepAlive && Chunked;
-  std::vector<head_line> All = Lines;
+  std::vector<header_field> All = Lines;
   if (Chunked)
     All.push_back({"Transfer-Encoding", "chunked"});
   Stream.write(headOf(Status, Reason, All));
@@ -200,7 +200,7 @@
   endRequest();
 }
 
-void caller_connection::breakOff() {
+void caller_connection::abortResponse() {
   if (Ended)
     return;
   Producer = nullptr;
@@ -250,7 +250,7 @@
 }
 
 void caller_connection::onEnd() {
-  std::shared_ptr<caller_user> OldProducer = std::move(Producer);
+  std::shared_ptr<response_producer> OldProducer = std::move(Producer);
   Producer = nullptr;
   endConnection();
   if (OldProducer)
@@ -304,7 +304,7 @@
   return Longest != nullptr;
 }
 
-void caller_pool::closeResting() {
+void caller_pool::closeIdle() {
   std::vector<caller_connection *> Idle;
   for (auto &[Raw, Connection] : Open)
     if (!Raw->busy())
--- a/net/caller_connection.h
+++ b/net/caller_connection.h
@@ -20,9 +20,9 @@
 class caller_connection;
 
 /// Produces the response to one request and is notified about the connection.
-class caller_user {
+class response_producer {
 public:
-  virtual ~caller_user() = default;
+  virtual ~response_producer() = default;
   /// The connection has ended, so no response can be sent any more.
   virtual void onCallerGone() = 0;
   /// The kernel has accepted all bytes written so far.
@@ -55,29 +55,30 @@
   caller_connection(struct ev_loop *Loop, caller_host &Host, int Socket);
 
   /// Makes \p NewProducer the producer of the response to the current request.
-  void answeredBy(std::shared_ptr<caller_user> NewProducer) {
+  void setProducer(std::shared_ptr<response_producer> NewProducer) {
     Producer = std::move(NewProducer);
   }
   /// Sends a complete response and ends the request. \p Lines must not contain
   /// hop-by-hop headers.
   void reply(int Status, std::string_view Reason,
-             const std::vector<head_line> &Lines, std::string_view Body) {
+             const std::vector<header_field> &Lines, std::string_view Body) {
     writeWhole(Status, Reason, Lines, Body);
     finish();
   }
   /// Like reply(), but the connection reads no further request until finish()
   /// is called.
   void writeWhole(int Status, std::string_view Reason,
-                  const std::vector<head_line> &Lines, std::string_view Body);
+                  const std::vector<header_field> &Lines,
+                  std::string_view Body);
   /// Starts a streamed response of unknown length: write() adds to the body and
   /// finish() ends it.
   void begin(int Status, std::string_view Reason,
-             const std::vector<head_line> &Lines);
+             const std::vector<header_field> &Lines);
   void write(std::string_view Bytes);
   void finish();
   /// Closes the connection without completing the response, so that the
   /// caller's HTTP library reports a truncated response.
-  void breakOff();
+  void abortResponse();
 
   /// True while a request is being answered.
   bool busy() const { return Busy; }
@@ -110,12 +111,12 @@
   void becomeIdle();
   void endConnection();
   std::string headOf(int Status, std::string_view Reason,
-                     const std::vector<head_line> &Lines) const;
+                     const std::vector<header_field> &Lines) const;
 
   caller_host &Host;
   tcp_stream Stream;
   http_reader Reader;
-  std::shared_ptr<caller_user> Producer;
+  std::shared_ptr<response_producer> Producer;
   std::string Body;
   /// Bytes of the next request, received while this one is being answered.
   std::string PipelinedBytes;
@@ -147,7 +148,7 @@
   /// Must be called by the host for each connection that has ended.
   void ended(caller_connection &Connection);
   /// Closes all connections that are not answering a request.
-  void closeResting();
+  void closeIdle();
   size_t size() const { return Open.size(); }
 
 private:
--- a/net/gatekeeper.cpp
+++ b/net/gatekeeper.cpp
@@ -21,7 +21,8 @@
 
 } // namespace
 
-gatekeeper::gatekeeper(link_context &Context, struct ev_loop *Loop) {
+link_authenticator::link_authenticator(link_context &Context,
+                                       struct ev_loop *Loop) {
   if (!Context.keys().enabled())
     return;
   std::array<uint8_t, KeyBytes> Key{};
@@ -33,7 +34,7 @@
   Socket->watch();
 }
 
-void gatekeeper::handleRequest() {
+void link_authenticator::handleRequest() {
   std::vector<std::string> Frames;
   bool More = true;
   while (More) {
--- a/net/gatekeeper.h
+++ b/net/gatekeeper.h
@@ -14,11 +14,11 @@
 namespace olivevalve {
 
 /// The ZAP handler of a link_context.
-class gatekeeper {
+class link_authenticator {
 public:
   /// Must be constructed before the first server_link binds. Does nothing if
   /// the context has no keys.
-  gatekeeper(link_context &Context, struct ev_loop *Loop);
+  link_authenticator(link_context &Context, struct ev_loop *Loop);
   /// Number of authentication requests rejected so far.
   uint64_t refused() const { return Refused; }
 
--- a/net/http_reader.cpp
+++ b/net/http_reader.cpp
@@ -20,14 +20,14 @@
 }
 
 const std::string *http_head::find(std::string_view Name) const {
-  for (const head_line &Line : Lines)
+  for (const header_field &Line : Lines)
     if (sameHeader(Line.Name, Name))
       return &Line.Value;
   return nullptr;
 }
 
-bool http_head::isTied(std::string_view Name) const {
-  for (const head_line &Line : Lines) {
+bool http_head::isConnectionOption(std::string_view Name) const {
+  for (const header_field &Line : Lines) {
     if (!sameHeader(Line.Name, "Connection"))
       continue;
     std::string_view Rest = Line.Value;
@@ -162,7 +162,7 @@
   // feed() counts the bytes of a call only after parsing them, so a head that
   // arrived in one call has not been counted yet: add up its parts instead.
   HeadBytes = Head.Method.size() + Head.Target.size();
-  for (const head_line &Line : Head.Lines) {
+  for (const header_field &Line : Head.Lines) {
     HeadBytes += Line.Name.size() + Line.Value.size() + LineOverhead;
     Hosts += sameHeader(Line.Name, "Host");
     bool IsTransferCoding = sameHeader(Line.Name, "Transfer-Encoding");
--- a/net/http_reader.h
+++ b/net/http_reader.h
@@ -24,7 +24,7 @@
 bool sameHeader(std::string_view A, std::string_view B);
 
 /// One header field.
-struct head_line {
+struct header_field {
   std::string Name;
   std::string Value;
 };
@@ -41,13 +41,13 @@
   bool Chunked = false;
   /// Value of Content-Length, if present.
   std::optional<uint64_t> Length;
-  std::vector<head_line> Lines; ///< Headers in the order received.
+  std::vector<header_field> Lines; ///< Headers in the order received.
 
   /// The value of the first header called \p Name, or null.
   const std::string *find(std::string_view Name) const;
   /// True if a Connection header lists \p Name, which makes that header
   /// hop-by-hop.
-  bool isTied(std::string_view Name) const;
+  bool isConnectionOption(std::string_view Name) const;
 };
 
 /// Which messages a reader parses.
--- a/net/http_server.cpp
+++ b/net/http_server.cpp
@@ -44,9 +44,10 @@
   }
 }
 
-std::vector<head_line> withType(std::string_view ContentType,
-                                const std::vector<head_line> &Headers) {
-  std::vector<head_line> Lines = {{"Content-Type", std::string(ContentType)}};
+std::vector<header_field> withType(std::string_view ContentType,
+                                   const std::vector<header_field> &Headers) {
+  std::vector<header_field> Lines = {
+      {"Content-Type", std::string(ContentType)}};
   Lines.insert(Lines.end(), Headers.begin(), Headers.end());
   return Lines;
 }
@@ -85,7 +86,7 @@
 
 void http_exchange::reply(int Status, std::string_view ContentType,
                           std::string_view ReplyBody,
-                          const std::vector<head_line> &Headers) {
+                          const std::vector<header_field> &Headers) {
   if (Answered || !Connection)
     return;
   Answered = Finished = true;
@@ -96,7 +97,7 @@
 }
 
 void http_exchange::startStream(int Status, std::string_view ContentType,
-                                const std::vector<head_line> &Headers) {
+                                const std::vector<header_field> &Headers) {
   if (Answered || !Connection)
     return;
   Answered = true;
@@ -125,7 +126,7 @@
   caller_connection *Aborted = Connection;
   std::function<void()> Gone = OnGone;
   end();
-  Aborted->breakOff();
+  Aborted->abortResponse();
   if (Gone)
     Gone();
 }
@@ -191,7 +192,7 @@
   auto Exchange = std::make_shared<http_exchange>(
       *this, Connection, std::move(Head), std::move(Body));
   Live.insert(Exchange.get());
-  Connection.answeredBy(Exchange);
+  Connection.setProducer(Exchange);
   Handler(Exchange);
 }
 
--- a/net/http_server.h
+++ b/net/http_server.h
@@ -31,7 +31,7 @@
 
 /// One request and its response. Shared by the handler and, until the exchange
 /// is over, the connection.
-class http_exchange : public caller_user,
+class http_exchange : public response_producer,
                       public std::enable_shared_from_this<http_exchange> {
 public:
   http_exchange(class http_server &Server, caller_connection &Connection,
@@ -49,11 +49,11 @@
   /// Sends the complete response. Ignored if a response was already started or
   /// the connection has ended.
   void reply(int Status, std::string_view ContentType, std::string_view Body,
-             const std::vector<head_line> &Headers = {});
+             const std::vector<header_field> &Headers = {});
   /// Starts a response of unknown length: write() adds to its body and finish()
   /// ends it. Ignored in the same cases as reply().
   void startStream(int Status, std::string_view ContentType,
-                   const std::vector<head_line> &Headers = {});
+                   const std::vector<header_field> &Headers = {});
   void write(std::string_view Bytes);
   void finish();
   /// Closes the connection without completing the response, so that the
--- a/net/link.cpp
+++ b/net/link.cpp
@@ -181,7 +181,7 @@
     ++Traffic.Malformed;
     return false;
   }
-  kind_traffic &Kind = Traffic.ByKind[size_t(Message.body_case())];
+  message_traffic &Kind = Traffic.ByKind[size_t(Message.body_case())];
   ++Kind.ReceivedMessages;
   Kind.ReceivedBytes += Buffer.size();
   return true;
@@ -191,7 +191,7 @@
           std::string &Buffer) {
   if (!Message.SerializeToString(&Buffer))
     return false;
-  kind_traffic &Kind = Traffic.ByKind[size_t(Message.body_case())];
+  message_traffic &Kind = Traffic.ByKind[size_t(Message.body_case())];
   ++Kind.SentMessages;
   Kind.SentBytes += Buffer.size();
   return true;
--- a/net/link.h
+++ b/net/link.h
@@ -30,7 +30,7 @@
 };
 
 /// Message and payload byte counts of one message kind.
-struct kind_traffic {
+struct message_traffic {
   uint64_t SentMessages = 0;
   uint64_t SentBytes = 0;
   uint64_t ReceivedMessages = 0;
@@ -42,7 +42,7 @@
   /// Must exceed the largest field number of wire::envelope.
   static constexpr size_t Kinds = 32;
   /// Indexed by the field number of the message in wire::envelope.
-  std::array<kind_traffic, Kinds> ByKind;
+  std::array<message_traffic, Kinds> ByKind;
   uint64_t Malformed = 0; ///< Received messages that could not be parsed.
 };
 
--- a/sidecar/sidecar_task.cpp
+++ b/sidecar/sidecar_task.cpp
@@ -169,7 +169,7 @@
 void sidecar_task::refuse(const std::string &Peer, const wire::attempt_id &Id,
                           const absl::Status &Status) {
   error_kind Kind = kindOf(Status);
-  Metrics.count("refused", answerFor(Kind).Code);
+  Metrics.count("refused", responseFor(Kind).Code);
   wire::envelope Message;
   wire::refused *Refused = Message.mutable_refused();
   *Refused->mutable_id() = Id;
@@ -436,7 +436,7 @@
   if (auto Usage = Work.Usage.usage())
     *End->mutable_usage() = *Usage;
   if (Kind != error_kind::None)
-    Metrics.count("failed_attempts", answerFor(Kind).Code);
+    Metrics.count("failed_attempts", responseFor(Kind).Code);
   Server.send(Work.Peer, Envelope);
 }
 
--- a/tests/gateway_world.cpp
+++ b/tests/gateway_world.cpp
@@ -143,7 +143,7 @@
         [&] { return request("/safe/x").Status == 200; });
 }
 
-json gateway_world::usualRouting() {
+json gateway_world::defaultRouting() {
   auto Route = [](const char *Name, const char *Kind, int Attempts,
                   double TargetMs) {
     return json{{"name", Name},
@@ -173,7 +173,7 @@
 }
 
 json gateway_world::largeRouting(int Routes) {
-  json Routing = usualRouting();
+  json Routing = defaultRouting();
   for (int I = 0; I < Routes; ++I) {
     json Route = Routing["routes"][0];
     std::string Number = std::to_string(I);
@@ -186,11 +186,11 @@
   return Routing;
 }
 
-caller_answer gateway_world::operatorCall(const std::string &Method,
-                                          const std::string &Path,
-                                          const std::string &Body,
-                                          double Seconds) {
-  caller_answer Answer;
+client_response gateway_world::operatorCall(const std::string &Method,
+                                            const std::string &Path,
+                                            const std::string &Body,
+                                            double Seconds) {
+  client_response Answer;
   double End = steadySeconds() + Seconds;
   for (size_t Turn = 0; steadySeconds() < End; ++Turn) {
     seeded_control &Node = *Seeded[Turn % Seeded.size()];
@@ -215,12 +215,12 @@
   return Answer;
 }
 
-caller_answer gateway_world::putRouting(const json &Routing, double Seconds) {
+client_response gateway_world::putRouting(const json &Routing, double Seconds) {
   return operatorCall("POST", "/v1/routing", Routing.dump(), Seconds);
 }
 
 json gateway_world::statusOf(const seeded_control &Node) {
-  caller_answer Answer =
+  client_response Answer =
       call(Node.Ip + ":" + std::to_string(OperatorPort),
            {.Method = "GET", .Path = "/v1/status", .Key = "", .Seconds = 1});
   json Status = json::parse(Answer.Body, nullptr, false);
@@ -257,8 +257,8 @@
   until(std::to_string(Count) + " voters", [&] { return voters() == Count; });
 }
 
-std::shared_ptr<caller_answer>
-gateway_world::beginRequest(const std::string &Path, caller_request Request) {
+std::shared_ptr<client_response>
+gateway_world::beginRequest(const std::string &Path, client_request Request) {
   LastId = nextId();
   Request.Path = Path;
   Request.Key = "";
@@ -273,8 +273,8 @@
   return begin(GatewayAddress.text(), std::move(Request));
 }
 
-caller_answer gateway_world::request(const std::string &Path,
-                                     caller_request Request) {
+client_response gateway_world::request(const std::string &Path,
+                                       client_request Request) {
   auto Answer = beginRequest(Path, std::move(Request));
   until("a response", [&] { return Answer->Done; });
   return *Answer;
--- a/tests/gateway_world.h
+++ b/tests/gateway_world.h
@@ -44,16 +44,18 @@
   /// served a request.
   void startServing(const json &Routing, const json &Changes = {});
   /// Returns a routing with the default routes and the next version.
-  json usualRouting();
-  /// Like usualRouting(), with \p Routes additional routes "/r0/", "/r1/", ...
+  json defaultRouting();
+  /// Like defaultRouting(), with \p Routes additional routes "/r0/", "/r1/",
+  /// ...
   json largeRouting(int Routes);
   /// Sends the routing as an operator, see operatorCall().
-  caller_answer putRouting(const json &Routing, double Seconds = 20);
+  client_response putRouting(const json &Routing, double Seconds = 20);
   /// Sends an operator's request to the control VMs in turn, following
   /// redirects to the leader, until one handles it. Returns the last response
   /// if none does within \p Seconds.
-  caller_answer operatorCall(const std::string &Method, const std::string &Path,
-                             const std::string &Body, double Seconds = 20);
+  client_response operatorCall(const std::string &Method,
+                               const std::string &Path, const std::string &Body,
+                               double Seconds = 20);
   /// Returns the status that a control VM reports; empty if it does not
   /// respond.
   json statusOf(const seeded_control &Node);
@@ -74,10 +76,10 @@
 
   /// Sends a request of the client account "dispatch" to the gateway and
   /// returns at once. Sets LastId.
-  std::shared_ptr<caller_answer> beginRequest(const std::string &Path,
-                                              caller_request Request = {});
+  std::shared_ptr<client_response> beginRequest(const std::string &Path,
+                                                client_request Request = {});
   /// Like beginRequest(), but waits for the response.
-  caller_answer request(const std::string &Path, caller_request Request = {});
+  client_response request(const std::string &Path, client_request Request = {});
   std::string nextId() { return "attempt-" + std::to_string(++Requests); }
 
   std::vector<std::unique_ptr<seeded_control>> Seeded;
--- a/tests/measure.cpp
+++ b/tests/measure.cpp
@@ -42,7 +42,7 @@
 
 /// Returns a configuration with one model and all sidecars as its upstreams.
 json wideConfig(world &World) {
-  json Config = World.usualConfig();
+  json Config = World.defaultConfig();
   Config["upstreams"] = json::object();
   for (auto &[Name, Node] : World.Sidecars)
     Config["upstreams"][Name] = {{"address", Node->Path->address()},
@@ -86,7 +86,7 @@
     World.run(6);
     double Nodes = Size.Entries + Size.Sidecars + 3;
     control_node &Leader = World.leader();
-    std::map<const daemon_process *, process_use> Before;
+    std::map<const daemon_process *, resource_use> Before;
     std::map<std::string, double> Sent;
     auto All = [&](auto Each) {
       for (auto &[Name, Node] : World.Entries)
@@ -96,7 +96,7 @@
       Each("control leader", *Leader.Process, nullptr);
     };
     All([&](const char *, daemon_process &Process, const reserved_address *) {
-      Before[&Process] = useOf(Process);
+      Before[&Process] = resourceUseOf(Process);
     });
     entry_node &Entry = *World.Entries["e0"];
     sidecar_node &Sidecar = *World.Sidecars["s0"];
@@ -116,7 +116,7 @@
     std::map<std::string, std::vector<double>> Memory;
     All([&](const char *Role, daemon_process &Process,
             const reserved_address *) {
-      process_use Now = useOf(Process);
+      resource_use Now = resourceUseOf(Process);
       Cpu[Role].push_back(100 * (Now.CpuSeconds - Before[&Process].CpuSeconds) /
                           Took);
       Memory[Role].push_back(Now.ResidentMb);
@@ -161,14 +161,14 @@
     World.startSidecar("b");
     World.startSidecar("led");
     World.startEntry("entry-1");
-    World.apply(World.usualConfig(), 30);
+    World.apply(World.defaultConfig(), 30);
     World.untilReady(World.Entries["entry-1"]->Health);
     control_node &Control = *World.Control[0];
-    process_use Before = useOf(*Control.Process);
+    resource_use Before = resourceUseOf(*Control.Process);
     for (int I = 0; I < Changes; ++I)
       World.putObject("template", "t" + std::to_string(I % 200),
                       {{"candidates", {"olive-llm"}}});
-    process_use After = useOf(*Control.Process);
+    resource_use After = resourceUseOf(*Control.Process);
     Csv.row("changes", "control", Changes, "cpu ms each",
             1000 * (After.CpuSeconds - Before.CpuSeconds) / Changes);
     Csv.row("changes", "control", Changes, "resident MB", After.ResidentMb);
@@ -191,18 +191,18 @@
 BOOST_AUTO_TEST_CASE(sessions) {
   csv_file Csv;
   world World;
-  World.startUsual(3);
+  World.startDefaultSystem(3);
   control_node &Leader = World.leader();
   int Done = 0;
-  process_use Control = useOf(*Leader.Process);
-  process_use Entry = useOf(*World.Entries["entry-1"]->Process);
+  resource_use Control = resourceUseOf(*Leader.Process);
+  resource_use Entry = resourceUseOf(*World.Entries["entry-1"]->Process);
   for (int Sessions : {10, 100, 1000, 5000, 10000}) {
     int Count = Sessions - Done;
-    process_use Before = useOf(*Leader.Process);
+    resource_use Before = resourceUseOf(*Leader.Process);
     double Start = steadySeconds();
     int Open = 0;
     int Finished = 0;
-    std::vector<std::shared_ptr<caller_answer>> Answers;
+    std::vector<std::shared_ptr<client_response>> Answers;
     while (Finished < Count) {
       while (Open < 50 && Done < Sessions) {
         Answers.push_back(World.begin(
@@ -221,13 +221,13 @@
       });
     }
     double Took = steadySeconds() - Start;
-    process_use After = useOf(*Leader.Process);
+    resource_use After = resourceUseOf(*Leader.Process);
     Csv.row("sessions", "control leader", Sessions, "cpu ms each",
             1000 * (After.CpuSeconds - Before.CpuSeconds) / Count);
     Csv.row("sessions", "control leader", Sessions, "resident MB added",
             After.ResidentMb - Control.ResidentMb);
     Csv.row("sessions", "entry", Sessions, "resident MB added",
-            useOf(*World.Entries["entry-1"]->Process).ResidentMb -
+            resourceUseOf(*World.Entries["entry-1"]->Process).ResidentMb -
                 Entry.ResidentMb);
     Csv.row("sessions", "all", Sessions, "new sessions/s", Count / Took);
   }
@@ -241,7 +241,7 @@
   wire::claim Claim;
   Claim.set_space("session");
   size_t Held = 0;
-  double Empty = useOf(getpid()).ResidentMb;
+  double Empty = resourceUseOf(getpid()).ResidentMb;
   for (size_t Count : {100000U, 500000U, 1000000U, 1800000U}) {
     double Start = steadySeconds();
     size_t Before = Held;
@@ -255,7 +255,7 @@
     Csv.row("pins", "control", double(Count), "us each",
             1e6 * Took / double(Count - Before));
     Csv.row("pins", "control", double(Count), "resident MB added",
-            useOf(getpid()).ResidentMb - Empty);
+            resourceUseOf(getpid()).ResidentMb - Empty);
   }
   double Start = steadySeconds();
   wire::state_image Image;
@@ -280,14 +280,14 @@
 BOOST_AUTO_TEST_CASE(requests) {
   csv_file Csv;
   world World;
-  World.startUsual(3);
+  World.startDefaultSystem(3);
   std::string Entry = World.Entries["entry-1"]->Address.text();
   std::string Engine = World.Sidecars["a"]->Engine->address();
   auto Latency = [&](const std::string &Address) {
     std::vector<double> Times;
     for (int I = 0; I < 600; ++I) {
       double Start = steadySeconds();
-      caller_answer Answer = World.call(
+      client_response Answer = World.call(
           Address, {.Body = chatBody("plan", "tokens=1 first=0 gap=0")});
       BOOST_REQUIRE(Answer.Status == 200);
       Times.push_back(1000 * (steadySeconds() - Start));
@@ -303,7 +303,7 @@
   Csv.row("requests", "entry and sidecar", 600, "p99 ms", Through[594]);
 
   auto Burst = [&](int Count) {
-    std::vector<std::shared_ptr<caller_answer>> Answers;
+    std::vector<std::shared_ptr<client_response>> Answers;
     int Sent = 0;
     int Finished = 0;
     while (Finished < Count) {
@@ -324,17 +324,17 @@
   Burst(2000);
   control_node &Leader = World.leader();
   for (int Count : {5000, 20000, 100000}) {
-    process_use EntryBefore = useOf(EntryProcess);
-    process_use SidecarBefore = useOf(SidecarProcess);
-    process_use OtherBefore = useOf(*World.Sidecars["b"]->Process);
-    process_use LeaderBefore = useOf(*Leader.Process);
+    resource_use EntryBefore = resourceUseOf(EntryProcess);
+    resource_use SidecarBefore = resourceUseOf(SidecarProcess);
+    resource_use OtherBefore = resourceUseOf(*World.Sidecars["b"]->Process);
+    resource_use LeaderBefore = resourceUseOf(*Leader.Process);
     double Start = steadySeconds();
     Burst(Count);
     double Took = steadySeconds() - Start;
-    process_use EntryAfter = useOf(EntryProcess);
-    double Sidecars = useOf(SidecarProcess).CpuSeconds -
+    resource_use EntryAfter = resourceUseOf(EntryProcess);
+    double Sidecars = resourceUseOf(SidecarProcess).CpuSeconds -
                       SidecarBefore.CpuSeconds +
-                      useOf(*World.Sidecars["b"]->Process).CpuSeconds -
+                      resourceUseOf(*World.Sidecars["b"]->Process).CpuSeconds -
                       OtherBefore.CpuSeconds;
     double Cpu = EntryAfter.CpuSeconds - EntryBefore.CpuSeconds;
     Csv.row("requests", "entry", Count, "cpu us each", 1e6 * Cpu / Count);
@@ -345,43 +345,44 @@
     // For bills from entry and sidecar, ratings, and response counts.
     Csv.row("requests", "control leader", Count, "cpu us each",
             1e6 *
-                (useOf(*Leader.Process).CpuSeconds - LeaderBefore.CpuSeconds) /
+                (resourceUseOf(*Leader.Process).CpuSeconds -
+                 LeaderBefore.CpuSeconds) /
                 Count);
     Csv.row("requests", "entry", Count, "resident MB", EntryAfter.ResidentMb);
     Csv.row("requests", "sidecar", Count, "resident MB",
-            useOf(SidecarProcess).ResidentMb);
+            resourceUseOf(SidecarProcess).ResidentMb);
   }
   // Open streams: memory of entry and sidecar, processor time per token.
-  json Config = World.usualConfig();
+  json Config = World.defaultConfig();
   for (const char *Name : {"a", "b"})
     Config["upstreams"][Name]["slots"] = 1000;
   World.apply(Config);
   for (int Streams : {0, 250, 1000}) {
-    std::vector<std::shared_ptr<caller_answer>> Answers;
+    std::vector<std::shared_ptr<client_response>> Answers;
     for (int I = 0; I < Streams; ++I)
       Answers.push_back(World.begin(
           Entry, {.Body = chatBody("plan", "tokens=100000 gap=50", true),
                   .Seconds = 10}));
     World.run(3);
-    process_use EntryBefore = useOf(EntryProcess);
+    resource_use EntryBefore = resourceUseOf(EntryProcess);
     // All streams have the same prompt, so one sidecar may get all of them.
     // Therefore both sidecars are measured.
     daemon_process &Second = *World.Sidecars["b"]->Process;
-    double SidecarsBefore =
-        useOf(SidecarProcess).CpuSeconds + useOf(Second).CpuSeconds;
+    double SidecarsBefore = resourceUseOf(SidecarProcess).CpuSeconds +
+                            resourceUseOf(Second).CpuSeconds;
     double Frames = counter(World, World.Entries["entry-1"]->Health,
                             "link_received_messages", "frame");
     World.run(4);
     Frames = counter(World, World.Entries["entry-1"]->Health,
                      "link_received_messages", "frame") -
              Frames;
-    process_use EntryNow = useOf(EntryProcess);
-    double SidecarsNow =
-        useOf(SidecarProcess).CpuSeconds + useOf(Second).CpuSeconds;
+    resource_use EntryNow = resourceUseOf(EntryProcess);
+    double SidecarsNow = resourceUseOf(SidecarProcess).CpuSeconds +
+                         resourceUseOf(Second).CpuSeconds;
     Csv.row("streams", "entry", Streams, "resident MB", EntryNow.ResidentMb);
-    Csv.row(
-        "streams", "sidecar", Streams, "resident MB",
-        std::max(useOf(SidecarProcess).ResidentMb, useOf(Second).ResidentMb));
+    Csv.row("streams", "sidecar", Streams, "resident MB",
+            std::max(resourceUseOf(SidecarProcess).ResidentMb,
+                     resourceUseOf(Second).ResidentMb));
     if (Frames > 0) {
       Csv.row("streams", "entry", Streams, "cpu us a token",
               1e6 * (EntryNow.CpuSeconds - EntryBefore.CpuSeconds) / Frames);
@@ -413,7 +414,7 @@
     World.leader();
     Times.push_back(steadySeconds() - Start);
     Old.start();
-    World.untilAllVote();
+    World.untilAllAreVoters();
   }
   std::sort(Times.begin(), Times.end());
   Csv.row("leaders", "control", Kills, "median s", Times[Kills / 2]);
@@ -431,7 +432,7 @@
   daemon_process &Process = *World.Control[0]->Process;
   int Sent = 0;
   for (int Count : {1000, 10000, 100000}) {
-    std::vector<std::shared_ptr<caller_answer>> Open;
+    std::vector<std::shared_ptr<client_response>> Open;
     double Start = steadySeconds();
     int Before = Sent;
     while (Sent < Count || !Open.empty()) {
@@ -462,7 +463,7 @@
     Csv.row("restart", "control", Count, "s to leading",
             steadySeconds() - Start);
     Csv.row("restart", "control", Count, "resident MB",
-            useOf(Process).ResidentMb);
+            resourceUseOf(Process).ResidentMb);
     BOOST_TEST(World.statusOf(*World.Control[0])["config_index"] == Index);
   }
 }
@@ -471,12 +472,12 @@
 BOOST_AUTO_TEST_CASE(claims) {
   csv_file Csv;
   world World;
-  World.startUsual(3);
+  World.startDefaultSystem(3);
   control_node &Leader = World.leader();
   for (int Count : {500, 3000}) {
-    process_use Before = useOf(*Leader.Process);
+    resource_use Before = resourceUseOf(*Leader.Process);
     double Start = steadySeconds();
-    std::vector<std::shared_ptr<caller_answer>> Answers;
+    std::vector<std::shared_ptr<client_response>> Answers;
     int Sent = 0;
     int Finished = 0;
     while (Finished < Count) {
@@ -495,7 +496,7 @@
       });
     }
     double Took = steadySeconds() - Start;
-    process_use After = useOf(*Leader.Process);
+    resource_use After = resourceUseOf(*Leader.Process);
     Csv.row("claims", "control leader", Count, "cpu us each",
             1e6 * (After.CpuSeconds - Before.CpuSeconds) / Count);
     Csv.row("claims", "all", Count, "bookings/s", Count / Took);
--- a/tests/measure.h
+++ b/tests/measure.h
@@ -30,12 +30,12 @@
 };
 
 /// Resource use of one process, from /proc.
-struct process_use {
+struct resource_use {
   double CpuSeconds = 0; ///< User and system time since the process started.
   double ResidentMb = 0; ///< Resident memory in units of 10^6 bytes.
 };
 
-inline process_use useOf(pid_t Pid) {
+inline resource_use resourceUseOf(pid_t Pid) {
   std::string Folder = "/proc/" + std::to_string(Pid);
   std::ifstream Stat(Folder + "/stat");
   std::string Text((std::istreambuf_iterator<char>(Stat)), {});
@@ -53,8 +53,8 @@
           Resident * double(sysconf(_SC_PAGESIZE)) / 1e6};
 }
 
-inline process_use useOf(const daemon_process &Process) {
-  return useOf(Process.pid());
+inline resource_use resourceUseOf(const daemon_process &Process) {
+  return resourceUseOf(Process.pid());
 }
 
 } // namespace olivevalve
--- a/tests/measure_gateway.cpp
+++ b/tests/measure_gateway.cpp
@@ -21,7 +21,7 @@
   loaded_world() {
     for (int I = 0; I < Upstreams; ++I)
       addReplica({.Id = "i-" + std::to_string(I)});
-    json Routing = usualRouting();
+    json Routing = defaultRouting();
     for (json &Route : Routing["routes"])
       Route["timeout_ms"] = 60000;
     putRouting(Routing);
@@ -34,7 +34,7 @@
   /// Sends \p Count requests, at most \p Concurrent at a time, and waits for
   /// all responses.
   void sendRequests(const std::string &Path, int Count, int Concurrent) {
-    std::vector<std::shared_ptr<caller_answer>> Open;
+    std::vector<std::shared_ptr<client_response>> Open;
     int Sent = 0;
     int Succeeded = 0;
     until(
@@ -59,19 +59,19 @@
   csv_file Csv;
   loaded_world World;
   for (int Count : {1000, 4000}) {
-    process_use Before = useOf(*World.Gateway);
+    resource_use Before = resourceUseOf(*World.Gateway);
     World.sendRequests("/unsafe/x", Count, 8);
-    process_use After = useOf(*World.Gateway);
+    resource_use After = resourceUseOf(*World.Gateway);
     Csv.row("gateway", "gateway", Count, "us a request",
             (After.CpuSeconds - Before.CpuSeconds) / Count * 1e6);
     Csv.row("gateway", "gateway", Count, "resident MB", After.ResidentMb);
   }
   for (int Streams : {20, 100, 400}) {
     constexpr int Events = 200;
-    process_use Before = useOf(*World.Gateway);
+    resource_use Before = resourceUseOf(*World.Gateway);
     World.sendRequests("/stream/x?events=" + std::to_string(Events), Streams,
                        Streams);
-    process_use After = useOf(*World.Gateway);
+    resource_use After = resourceUseOf(*World.Gateway);
     Csv.row("gateway_streams", "gateway", Streams, "us an event",
             (After.CpuSeconds - Before.CpuSeconds) / Streams / Events * 1e6);
     Csv.row("gateway_streams", "gateway", Streams, "resident MB",
--- a/tests/measure_routing.cpp
+++ b/tests/measure_routing.cpp
@@ -60,7 +60,7 @@
   /// Bytes that the connections in this process have received.
   double receivedBytes() {
     uint64_t Sum = 0;
-    for (const kind_traffic &Kind : Context.traffic().ByKind)
+    for (const message_traffic &Kind : Context.traffic().ByKind)
       Sum += Kind.ReceivedBytes;
     return double(Sum);
   }
@@ -79,8 +79,8 @@
   World.untilInForce(World.RoutingVersion, "safe");
   World.run(1);
   seeded_control &Leader = *World.leaderOf();
-  process_use ControlBefore = useOf(*Leader.Process);
-  process_use GatewayBefore = useOf(*World.Gateway);
+  resource_use ControlBefore = resourceUseOf(*Leader.Process);
+  resource_use GatewayBefore = resourceUseOf(*World.Gateway);
   double BytesBefore = World.receivedBytes();
   std::vector<double> Delays;
   for (int I = 0; I < Changes; ++I) {
@@ -93,8 +93,8 @@
     Delays.push_back(steadySeconds() - Start);
   }
   std::sort(Delays.begin(), Delays.end());
-  process_use ControlAfter = useOf(*Leader.Process);
-  process_use GatewayAfter = useOf(*World.Gateway);
+  resource_use ControlAfter = resourceUseOf(*Leader.Process);
+  resource_use GatewayAfter = resourceUseOf(*World.Gateway);
   auto Row = [&](const char *Role, const char *Quantity, double Value) {
     Csv.row("routing", Role, Routes,
             std::string(Quantity) + " with " + std::to_string(Gateways) +
--- a/tests/proxy.cpp
+++ b/tests/proxy.cpp
@@ -121,9 +121,9 @@
 }
 
 bool proxy::swallows(bool FromClient) const {
-  return Fault == proxy_fault::Hole ||
-         (Fault == proxy_fault::HoleToServer && FromClient) ||
-         (Fault == proxy_fault::HoleToClient && !FromClient);
+  return Fault == proxy_fault::DropAll ||
+         (Fault == proxy_fault::DropToServer && FromClient) ||
+         (Fault == proxy_fault::DropToClient && !FromClient);
 }
 
 void proxy::onReadable(connection &Connection, bool FromClient) {
--- a/tests/proxy.h
+++ b/tests/proxy.h
@@ -17,9 +17,9 @@
 enum class proxy_fault : uint8_t {
   None,
   Cut,          ///< Resets open connections and each new one.
-  Hole,         ///< Drops all data; connections stay open.
-  HoleToServer, ///< Drops data from clients only.
-  HoleToClient, ///< Drops data from the server only.
+  DropAll,      ///< Drops all data; connections stay open.
+  DropToServer, ///< Drops data from clients only.
+  DropToClient, ///< Drops data from the server only.
   /// Shuts down the direction to the server, as if clients had done so.
   HalfClose,
   Drip, ///< Forwards a few bytes at a time.
--- a/tests/replica.cpp
+++ b/tests/replica.cpp
@@ -88,7 +88,7 @@
   return Sum;
 }
 
-int replica::mostInASecond(double Since) const {
+int replica::maxArrivalsPerSecond(double Since) const {
   int Max = 0;
   size_t Begin = 0;
   while (Begin < ArrivedAt.size() && ArrivedAt[Begin] < Since)
@@ -127,7 +127,7 @@
 std::string replica::answerHead(int Status, const std::string &Id,
                                 const std::string &Extra) const {
   std::string Confidence = std::to_string(int(this->Confidence * 100));
-  std::string Leaving = SaysLeaving ? "Server-Leaving: 1\r\n" : "";
+  std::string Leaving = AnnouncesShutdown ? "Server-Leaving: 1\r\n" : "";
   return "HTTP/1.1 " + std::to_string(Status) + " Word\r\nX-Attempt-Id: " + Id +
          "\r\nX-Response-Seal: seal-of-" + Options.Id +
          "\r\nX-Server-Load: " + Load + "\r\nX-Confidence: " + Confidence +
@@ -225,7 +225,7 @@
 upstream_list_stand_in::upstream_list_stand_in(struct ev_loop *Loop,
                                                const std::string &At)
     : Server(Loop, {}, [this](const std::shared_ptr<http_exchange> &Exchange) {
-        ++Questions;
+        ++RequestCount;
         if (Refusals > 0) {
           --Refusals;
           return Exchange->reply(429, "application/json", "{}");
--- a/tests/replica.h
+++ b/tests/replica.h
@@ -61,7 +61,7 @@
   int arrivals() const { return int(ArrivedAt.size()); }
   /// Returns the largest number of requests received within one second, over
   /// all seconds after \p Since (steady clock).
-  int mostInASecond(double Since) const;
+  int maxArrivalsPerSecond(double Since) const;
   /// Returns how often the request with this attempt id was run.
   int runs(const std::string &AttemptId) const;
   /// Returns how many requests were run in total.
@@ -83,7 +83,7 @@
   bool Refuses = false;   ///< Refuses each request as not run.
   std::string RetryAfter; ///< Retry-After of refusals; empty: no such header.
   /// Announces with each response that the upstream is shutting down.
-  bool SaysLeaving = false;
+  bool AnnouncesShutdown = false;
   /// Load reported with each response: running requests, waiting requests,
   /// slots.
   std::string Load = "1,0,8";
@@ -140,14 +140,14 @@
   void remove(const std::string &Id) { Entries.erase(Id); }
   void setCold(const std::string &Id, double Seconds);
   /// Adds an arbitrary value in place of an entry, to test invalid lists.
-  void putRaw(const std::string &Key, const json &Entry) {
+  void putRawEntry(const std::string &Key, const json &Entry) {
     Entries[Key] = Entry;
   }
   json entryOf(const std::string &Id) const { return Entries.at(Id); }
   /// Text inserted before the entries of each page, without any escaping.
   std::string Garbage;
-  int Refusals = 0;  ///< Number of following requests that get status 429.
-  int Questions = 0; ///< Number of requests received.
+  int Refusals = 0;     ///< Number of following requests that get status 429.
+  int RequestCount = 0; ///< Number of requests received.
 
 private:
   std::map<std::string, json> Entries;
--- a/tests/soak.cpp
+++ b/tests/soak.cpp
@@ -80,7 +80,7 @@
   size_t Gateway = 0;
   int Life = 0;
   uint64_t Marker = 0; ///< Number of the route, for the kind Marker.
-  std::shared_ptr<caller_answer> Answer;
+  std::shared_ptr<client_response> Answer;
 };
 
 // Returns the text of a stream's events 1 to Last.
@@ -175,7 +175,7 @@
   // Sends a new routing. Each version has one marker route whose path contains
   // the marker's number, so that a response shows which version is in effect.
   void changeRouting() {
-    json Routing = Large ? largeRouting(300) : usualRouting();
+    json Routing = Large ? largeRouting(300) : defaultRouting();
     uint64_t Marker = ++NewestMarker;
     json Route = Routing["routes"][0];
     Route["name"] = "marker";
@@ -250,9 +250,9 @@
 
   void disturbPath() {
     constexpr proxy_fault Faults[] = {
-        proxy_fault::Cut,          proxy_fault::Hole,
+        proxy_fault::Cut,          proxy_fault::DropAll,
         proxy_fault::Drip,         proxy_fault::Slow,
-        proxy_fault::HoleToServer, proxy_fault::HoleToClient};
+        proxy_fault::DropToServer, proxy_fault::DropToClient};
     std::string Id = Listed[below(Listed.size())];
     Paths[Id]->set(Faults[below(std::size(Faults))]);
     schedule(0.2 + 0.2 * double(below(8)),
@@ -290,7 +290,7 @@
   }
 
   void corruptList() {
-    List->putRaw("i-odd", {{"id", below(3)}, {"state", "ready"}});
+    List->putRawEntry("i-odd", {{"id", below(3)}, {"state", "ready"}});
     List->Garbage = chance(0.5) ? "{\"id\":\"\xff\"}," : "7,";
     schedule(1, [this] {
       List->remove("i-odd");
@@ -381,7 +381,7 @@
   }
 
   void check(const sent_request &Request) {
-    const caller_answer &Answer = *Request.Answer;
+    const client_response &Answer = *Request.Answer;
     gateway_under_test &Target = *Gateways[Request.Gateway];
     if (Answer.Status != 0 && Target.Life == Request.Life)
       Target.Answered = true;
--- a/tests/system/admission_test.cpp
+++ b/tests/system/admission_test.cpp
@@ -27,7 +27,7 @@
   full_world() {
     for (const char *Id : {"i-1", "i-2", "i-3"})
       addReplica({.Id = Id});
-    BOOST_REQUIRE_EQUAL(putRouting(usualRouting()).Status, 200);
+    BOOST_REQUIRE_EQUAL(putRouting(defaultRouting()).Status, 200);
     startGateway("gateway-1");
     untilGatewayReady("gateway-1");
     until("the gateway serves requests",
@@ -38,8 +38,8 @@
     for (auto &[Id, Replica] : Replicas)
       Replica->Load = Load;
   }
-  caller_answer sendRequest(const std::string &Path,
-                            caller_request Request = {}) {
+  client_response sendRequest(const std::string &Path,
+                              client_request Request = {}) {
     Request.Headers.push_back("X-Model: *");
     Request.Headers.push_back("X-Deadline-Ms: 6000");
     return request(Path, Request);
@@ -65,7 +65,7 @@
 BOOST_AUTO_TEST_CASE(get_no_requests_that_could_not_start_in_time) {
   full_world World;
   World.untilRefused();
-  caller_answer Refused = World.sendRequest("/stream/x?events=1");
+  client_response Refused = World.sendRequest("/stream/x?events=1");
   BOOST_TEST(Refused.Status == 503);
   BOOST_TEST(Refused.header("x-olivevalve-outcome") == "not-run");
   BOOST_TEST(Refused.Body.find("queue_full") != std::string::npos);
@@ -74,8 +74,8 @@
   BOOST_TEST(RetryAfter > 0.8 * DeadlineSeconds / 6);
   BOOST_TEST(RetryAfter <= DeadlineSeconds / 3);
   // A stream whose caller already has its beginning is resumed, not refused.
-  caller_answer Resumed = World.sendRequest("/stream/x?events=3",
-                                            {.Headers = {"Last-Event-Id: 1"}});
+  client_response Resumed = World.sendRequest(
+      "/stream/x?events=3", {.Headers = {"Last-Event-Id: 1"}});
   BOOST_TEST(Resumed.Status == 200);
 }
 
--- a/tests/system/bills_test.cpp
+++ b/tests/system/bills_test.cpp
@@ -13,10 +13,10 @@
 // or entries are killed while bills are in transit.
 BOOST_AUTO_TEST_CASE(equal_the_responses_that_callers_received) {
   world World;
-  World.startUsual();
+  World.startDefaultSystem();
   // Requests and output tokens by version, as callers received them.
   std::map<std::string, std::pair<uint64_t, uint64_t>> Received;
-  auto Record = [&](const caller_answer &Answer) {
+  auto Record = [&](const client_response &Answer) {
     if (Answer.Status != 200 || !Answer.Error.empty())
       return;
     auto &Line = Received[Answer.version()];
@@ -25,7 +25,7 @@
         json::parse(Answer.Body)["usage"]["completion_tokens"].get<uint64_t>();
   };
   auto Send = [&](int Count) {
-    std::vector<std::shared_ptr<caller_answer>> Answers;
+    std::vector<std::shared_ptr<client_response>> Answers;
     for (int I = 0; I < Count; ++I)
       for (auto &[Name, Node] : World.Entries)
         if (Node->Process->running())
--- a/tests/system/cascade_test.cpp
+++ b/tests/system/cascade_test.cpp
@@ -19,13 +19,13 @@
   explicit cascade_world(int Upstreams) {
     for (int I = 1; I <= Upstreams; ++I)
       addReplica({.Id = "i-" + std::to_string(I)}).Confidence = 0.2;
-    BOOST_REQUIRE_EQUAL(putRouting(usualRouting()).Status, 200);
+    BOOST_REQUIRE_EQUAL(putRouting(defaultRouting()).Status, 200);
     startGateway("gateway-1");
     untilGatewayReady("gateway-1");
     until("the gateway serves requests",
           [&] { return request("/safe/x", {.Method = "GET"}).Status == 200; });
   }
-  caller_answer sendRequest(const std::string &Query) {
+  client_response sendRequest(const std::string &Query) {
     return request("/stream/x?" + Query, {.Headers = {"X-Model: *"}});
   }
   int runs() {
@@ -44,7 +44,7 @@
   return Text;
 }
 
-void testComplete(const caller_answer &Answer, int Events) {
+void testComplete(const client_response &Answer, int Events) {
   BOOST_TEST(Answer.Status == 200);
   BOOST_TEST(Answer.Error.empty());
   BOOST_TEST(Answer.Body == eventsUpTo(Events));
@@ -95,7 +95,7 @@
 
 BOOST_AUTO_TEST_CASE(responds_its_response_is_forwarded) {
   cascade_world World(3);
-  caller_answer Answer = World.sendRequest("events=3");
+  client_response Answer = World.sendRequest("events=3");
   testComplete(Answer, 3);
   BOOST_TEST(World.runs() == 2);
   std::string Server = Answer.header("x-response-seal").substr(8);
@@ -127,7 +127,7 @@
   World.Replicas["i-1"]->Fails = true;
   World.Replicas["i-2"]->Refuses = true;
   for (int I = 0; I < 8; ++I) {
-    caller_answer Answer = World.request("/safe/x", {.Method = "GET"});
+    client_response Answer = World.request("/safe/x", {.Method = "GET"});
     if (World.runs() > 0)
       BOOST_TEST((Answer.Status != 503 && Answer.Status != 429));
   }
--- a/tests/system/configuration_test.cpp
+++ b/tests/system/configuration_test.cpp
@@ -70,18 +70,18 @@
   for (const config_fault &Case : Cases) {
     BOOST_TEST_CONTEXT(Case.What) {
       world World;
-      World.startUsual();
+      World.startDefaultSystem();
       std::string Entry1 = World.Entries["entry-1"]->Address.text();
       control_node &Leader = World.leader();
       switch (Case.Where) {
       case where::LeaderHole:
-        World.isolateControl(Leader, proxy_fault::Hole);
+        World.isolateControl(Leader, proxy_fault::DropAll);
         break;
       case where::EntryCut:
         World.isolateNode("entry-1", proxy_fault::Cut);
         break;
       case where::SidecarHole:
-        World.isolateNode("sidecar-a", proxy_fault::Hole);
+        World.isolateNode("sidecar-a", proxy_fault::DropAll);
         break;
       case where::LeaderKilled:
         Leader.Process->kill();
@@ -90,11 +90,12 @@
       // Version 1 is withdrawn. No request that is sent after the change is in
       // force may run on it.
       double SentAt = steadySeconds();
-      json Body = {{"change_id", "withdraw"},
-                   {"changes",
-                    {{{"kind", "model"},
-                      {"name", "olive-llm"},
-                      {"document", modelWith("withdrawn", "active")}}}}};
+      json Body = {
+          {"change_id", "withdraw"},
+          {"changes",
+           {{{"kind", "model"},
+             {"name", "olive-llm"},
+             {"document", modelWithVersionStates("withdrawn", "active")}}}}};
       json Answer;
       std::vector<std::string> Operators;
       for (auto &Node : World.Control)
@@ -104,10 +105,11 @@
           "the change is accepted",
           [&] {
             for (const std::string &Address : Operators) {
-              caller_answer Reply = World.call(Address, {.Path = "/v1/changes",
-                                                         .Body = Body.dump(),
-                                                         .Key = "",
-                                                         .Seconds = 12});
+              client_response Reply =
+                  World.call(Address, {.Path = "/v1/changes",
+                                       .Body = Body.dump(),
+                                       .Key = "",
+                                       .Seconds = 12});
               if (Reply.Status == 200)
                 Answer = json::parse(Reply.Body);
             }
@@ -133,7 +135,7 @@
           World.call(Node->Address.text(), {.Body = chatBody("plan", "x")});
       BOOST_TEST(Runs("olive-llm@1") == Before);
       if (Case.Where == where::EntryCut) {
-        caller_answer Refused =
+        client_response Refused =
             World.call(Entry1, {.Body = chatBody("plan", "x")});
         BOOST_TEST(Refused.outcome() == "not-run");
         World.isolateNode("entry-1", proxy_fault::None);
@@ -141,7 +143,7 @@
       if (Case.Where != where::LeaderKilled)
         World.isolateControl(Leader, proxy_fault::None);
       World.isolateNode("sidecar-a", proxy_fault::None);
-      caller_answer Served =
+      client_response Served =
           World.ask(Entry1, {.Body = chatBody("plan", "x"), .Seconds = 15});
       BOOST_TEST(Served.Status == 200);
       BOOST_TEST(Served.version() == "2");
@@ -155,7 +157,7 @@
 // it still contains the member without its disk.
 BOOST_AUTO_TEST_CASE(survives_successive_disk_losses) {
   world World;
-  World.startUsual();
+  World.startDefaultSystem();
   enum class who { Follower, Leader };
   const who Rounds[] = {who::Follower, who::Follower, who::Leader};
   uint64_t Last = 0;
@@ -172,7 +174,7 @@
     (*Lost)->Process->kill();
     std::filesystem::remove_all((*Lost)->Folder);
     (*Lost)->Process->start();
-    World.untilAllVote();
+    World.untilAllAreVoters();
     json Put = World.putObject("model", "extra-" + std::to_string(Round++),
                                {{"versions", {{"1", json::object()}}}});
     BOOST_TEST(Put.value("in_force", false), Put.dump());
@@ -220,7 +222,7 @@
                  std::string::npos);
       Put();
       Full.Process->start();
-      World.untilAllVote();
+      World.untilAllAreVoters();
     }
   }
   json Kept = World.operators("GET", "/v1/objects?kind=model");
@@ -232,7 +234,7 @@
 // new leader; the change is in force once the old leader's leases have expired.
 BOOST_AUTO_TEST_CASE(can_be_changed_while_the_leader_is_frozen) {
   world World;
-  World.startUsual(3);
+  World.startDefaultSystem(3);
   control_node &Old = World.leader();
   Old.Process->signal(SIGSTOP);
   ctl_result Set = World.ctl(
--- a/tests/system/crashes_test.cpp
+++ b/tests/system/crashes_test.cpp
@@ -40,7 +40,7 @@
   crashing_world(size_t Upstreams, size_t GatewayCount) {
     for (size_t I = 0; I < Upstreams; ++I)
       addUpstream();
-    BOOST_REQUIRE_EQUAL(putRouting(usualRouting()).Status, 200);
+    BOOST_REQUIRE_EQUAL(putRouting(defaultRouting()).Status, 200);
     for (size_t I = 0; I < GatewayCount; ++I)
       addGateway();
     untilServing();
@@ -72,9 +72,9 @@
             [&] { return sendRequest("/safe/x", I).Status == 200; });
     }
   }
-  std::shared_ptr<caller_answer> beginAt(const std::string &Path,
-                                         size_t Gateway = 0,
-                                         const std::string &Body = "") {
+  std::shared_ptr<client_response> beginAt(const std::string &Path,
+                                           size_t Gateway = 0,
+                                           const std::string &Body = "") {
     return begin(
         Gateways[Gateway]->Address.text(),
         {.Path = Path,
@@ -83,8 +83,8 @@
          .Headers = {"Host: a.example", "X-Credential: k1",
                      "X-Deadline-Ms: 5000", "X-Attempt-Id: " + nextId()}});
   }
-  caller_answer sendRequest(const std::string &Path, size_t Gateway = 0,
-                            const std::string &Body = "") {
+  client_response sendRequest(const std::string &Path, size_t Gateway = 0,
+                              const std::string &Body = "") {
     auto Answer = beginAt(Path, Gateway, Body);
     until("the request is answered", [&] { return Answer->Done; });
     return *Answer;
@@ -149,7 +149,7 @@
   World.untilCrashed(CrashingPath);
   BOOST_TEST(World.crashesOnFurtherRequests(CrashingPath) <= MaxFurtherCrashes);
   BOOST_TEST_CONTEXT("a quarantined request is refused at once as not run") {
-    caller_answer Answer = World.sendRequest(CrashingPath);
+    client_response Answer = World.sendRequest(CrashingPath);
     BOOST_TEST(Answer.Status == 503);
     BOOST_TEST(Answer.outcome() == "not-run");
     BOOST_TEST(std::atof(Answer.header("retry-after").c_str()) > 1);
@@ -194,7 +194,7 @@
 BOOST_AUTO_TEST_CASE(are_listed_and_released_by_operators) {
   crashing_world World(8, 2);
   World.untilCrashed(CrashingPathNoRetry);
-  caller_answer Shown = World.operatorCall("GET", "/v1/quarantine", "");
+  client_response Shown = World.operatorCall("GET", "/v1/quarantine", "");
   json List = json::parse(Shown.Body)["quarantine"];
   BOOST_REQUIRE_MESSAGE(List.size() == 1U, Shown.Body);
   BOOST_TEST(List[0]["upstreams_ended"].size() == size_t(CrashesToQuarantine));
@@ -222,7 +222,7 @@
   const std::string Popular = "/safe/popular?late=300";
   for (int Round = 0; Round < CrashesToQuarantine + 1; ++Round) {
     BOOST_TEST(World.sendRequest(Popular, 0).Status == 200);
-    std::vector<std::shared_ptr<caller_answer>> InFlight;
+    std::vector<std::shared_ptr<client_response>> InFlight;
     for (int I = 0; I < 8; ++I)
       InFlight.push_back(World.beginAt(Popular, size_t(I) % 2));
     World.run(0.1);
@@ -239,7 +239,7 @@
 
 BOOST_AUTO_TEST_CASE(exclude_requests_that_ran_concurrently) {
   crashing_world World(4, 1);
-  std::vector<std::shared_ptr<caller_answer>> Concurrent;
+  std::vector<std::shared_ptr<client_response>> Concurrent;
   for (int I = 0; I < 12; ++I)
     Concurrent.push_back(
         World.beginAt("/safe/company-" + std::to_string(I) + "?late=400"));
@@ -299,7 +299,7 @@
 // engine.
 BOOST_AUTO_TEST_CASE(crash_no_more_engines_behind_sidecars) {
   world World;
-  World.startUsual();
+  World.startDefaultSystem();
   int Crashes = 0;
   auto SendRequest = [&](const std::string &Entry, const std::string &Prompt) {
     int Before = Crashes;
@@ -332,7 +332,7 @@
   for (int I = 0; I < Attempts; ++I)
     SendRequest(I % 2 ? "entry-1" : "entry-2", "crash=1");
   BOOST_TEST(Crashes - Before <= MaxFurtherCrashes);
-  caller_answer Refused = SendRequest("entry-2", "crash=1");
+  client_response Refused = SendRequest("entry-2", "crash=1");
   BOOST_TEST(Refused.Status == 503);
   BOOST_TEST(Refused.outcome() == "not-run");
   World.until("another request is served",
--- a/tests/system/evacuation_test.cpp
+++ b/tests/system/evacuation_test.cpp
@@ -25,13 +25,13 @@
     addReplica({.Id = "c-2", .DataHall = "charguia"});
     addReplica({.Id = "l-1", .DataHall = "lac"});
     addReplica({.Id = "l-2", .DataHall = "lac"});
-    startServing(usualRouting());
+    startServing(defaultRouting());
   }
-  int sendRequest(const std::string &Path, caller_request Request = {}) {
+  int sendRequest(const std::string &Path, client_request Request = {}) {
     return request(Path, std::move(Request)).Status;
   }
-  caller_answer order(const std::string &Verb, const std::string &Hall,
-                      const std::string &Body = "") {
+  client_response order(const std::string &Verb, const std::string &Hall,
+                        const std::string &Body = "") {
     return operatorCall("POST", "/v1/halls/" + Verb + "/" + Hall, Body);
   }
   void evacuate(const std::string &Hall) {
@@ -46,7 +46,7 @@
     return Sum;
   }
   json hall(const std::string &Name) {
-    caller_answer Answer = operatorCall("GET", "/v1/halls", "");
+    client_response Answer = operatorCall("GET", "/v1/halls", "");
     json Body = json::parse(Answer.Body, nullptr, false);
     for (const json &Hall : Body["halls"])
       if (Hall["data_hall"] == Name)
@@ -56,7 +56,7 @@
   /// Sends requests through every path that chooses an upstream and checks that
   /// none of them reaches the hall.
   void testHallGetsNoRequests(const std::string &Hall) {
-    const caller_request AnyModel = {
+    const client_request AnyModel = {
         .Headers = {"X-Model: *", "X-Token-Count: 100,20"}};
     int ArrivalsBefore = arrivalsIn(Hall);
     for (int I = 0; I < 10; ++I) {
@@ -127,7 +127,7 @@
   int ArrivalsBefore = World.arrivalsIn("charguia") + World.arrivalsIn("lac");
   for (const char *Path : {"/safe/x", "/unsafe/x", "/stream/x?events=3"}) {
     double Since = steadySeconds();
-    caller_answer Answer = World.request(Path);
+    client_response Answer = World.request(Path);
     BOOST_TEST(Answer.Status == 503);
     BOOST_TEST(Answer.outcome() == "not-run");
     BOOST_TEST(std::atof(Answer.header("retry-after").c_str()) > 0.3);
@@ -213,7 +213,7 @@
 BOOST_AUTO_TEST_CASE(apply_concurrent_orders_consistently) {
   hall_world World;
   for (int Round = 0; Round < 5; ++Round) {
-    std::vector<std::shared_ptr<caller_answer>> Answers;
+    std::vector<std::shared_ptr<client_response>> Answers;
     seeded_control *Leader = World.leaderOf();
     BOOST_REQUIRE(Leader != nullptr);
     for (const char *Verb : {"evacuate", "restore", "evacuate", "restore"})
@@ -242,12 +242,12 @@
 class two_halls : public world {
 public:
   two_halls() {
-    startUsual();
-    json Upstreams = usualConfig()["upstreams"];
+    startDefaultSystem();
+    json Upstreams = defaultConfig()["upstreams"];
     Upstreams["b"]["data_hall"] = "lac";
     putObject("upstream", "b", Upstreams["b"]);
   }
-  caller_answer sendRequest() {
+  client_response sendRequest() {
     return call(Entries["entry-1"]->Address.text(),
                 {.Body = chatBody("plan", "x")});
   }
@@ -271,14 +271,14 @@
   BOOST_TEST(World.hall("lac")["evacuated"] == true);
   World.run(InForceSeconds);
   for (int I = 0; I < 20; ++I) {
-    caller_answer Answer = World.sendRequest();
+    client_response Answer = World.sendRequest();
     BOOST_TEST(Answer.Status == 200);
     BOOST_TEST(Answer.upstream() == "a");
   }
   BOOST_TEST_CONTEXT("callers are refused at once if all halls are evacuated") {
     BOOST_TEST(World.ctl({"evacuate", "charguia"}).ExitCode == 0);
     World.run(InForceSeconds);
-    caller_answer Answer = World.sendRequest();
+    client_response Answer = World.sendRequest();
     BOOST_TEST(Answer.Status == 503);
     BOOST_TEST(Answer.outcome() == "not-run");
   }
--- a/tests/system/failing_test.cpp
+++ b/tests/system/failing_test.cpp
@@ -18,7 +18,7 @@
   explicit failing_world(size_t Upstreams) {
     for (size_t I = 1; I <= Upstreams; ++I)
       addReplica({.Id = "i-" + std::to_string(I)});
-    startServing(usualRouting());
+    startServing(defaultRouting());
   }
   /// Sends unsafe requests and returns the number that failed with 500.
   int failuresOf(int Requests) {
--- a/tests/system/gateway_test.cpp
+++ b/tests/system/gateway_test.cpp
@@ -15,7 +15,7 @@
   served_world() {
     addReplica({.Id = "i-1"});
     addReplica({.Id = "i-2"});
-    BOOST_REQUIRE_EQUAL(putRouting(usualRouting()).Status, 200);
+    BOOST_REQUIRE_EQUAL(putRouting(defaultRouting()).Status, 200);
     startGateway("gateway-1");
     untilGatewayReady("gateway-1");
     until("the gateway serves requests",
@@ -56,7 +56,7 @@
 
 BOOST_AUTO_TEST_CASE(forward_requests_and_responses_unchanged) {
   served_world World;
-  caller_answer Answer = World.request(
+  client_response Answer = World.request(
       "/unsafe/book?a=%2e&b", {.Body = "{\"seat\": 7}",
                                .Headers = {"X-Odd: kept", "X-Tenant: forged"}});
   BOOST_TEST(Answer.Status == 200);
@@ -147,18 +147,18 @@
   for (const fault_case &Case : Cases)
     BOOST_TEST_CONTEXT(Case.Do) {
       std::string Query = std::string("x?do=") + Case.Do;
-      caller_answer Safe = World.request("/safe/" + Query, {.Method = "GET"});
+      client_response Safe = World.request("/safe/" + Query, {.Method = "GET"});
       BOOST_TEST(Safe.Status == Case.Safe);
       // No more attempts than the route allows.
       int Runs = World.runs(World.LastId);
       BOOST_TEST((Case.MayRun ? Runs >= 2 && Runs <= 3 : Runs == 0));
-      caller_answer Unsafe = World.request("/unsafe/" + Query);
+      client_response Unsafe = World.request("/unsafe/" + Query);
       BOOST_TEST(Unsafe.Status == Case.Unsafe);
       BOOST_TEST(World.runs(World.LastId) == Case.UnsafeRuns);
     }
   for (const char *Do : {"extra", "unframed"})
     BOOST_TEST_CONTEXT(Do) {
-      caller_answer Answer =
+      client_response Answer =
           World.request(std::string("/unsafe/x?do=") + Do, {.Body = "b"});
       BOOST_TEST(Answer.Status == 200);
       BOOST_TEST(Answer.Body.ends_with("got b"));
@@ -171,13 +171,13 @@
 
 BOOST_AUTO_TEST_CASE(respect_max_connections_of_upstreams) {
   served_world World;
-  json Routing = World.usualRouting();
+  json Routing = World.defaultRouting();
   Routing["services"][0]["max_connections"] = 6;
   Routing["routes"][1]["path_prefix"] = "/few/";
   BOOST_REQUIRE_EQUAL(World.putRouting(Routing).Status, 200);
   World.until("the limit is in force",
               [&] { return World.request("/few/x").Status == 200; });
-  std::vector<std::shared_ptr<caller_answer>> Open;
+  std::vector<std::shared_ptr<client_response>> Open;
   for (int I = 0; I < 40; ++I)
     Open.push_back(World.beginRequest("/few/x?late=300"));
   size_t MaxConnections = 0;
@@ -196,10 +196,10 @@
 
 BOOST_AUTO_TEST_CASE(retry_elsewhere_when_an_upstream_is_unreachable) {
   served_world World;
-  for (proxy_fault Fault : {proxy_fault::Cut, proxy_fault::Hole}) {
+  for (proxy_fault Fault : {proxy_fault::Cut, proxy_fault::DropAll}) {
     World.Paths["i-1"]->set(Fault);
     for (int I = 0; I < 6; ++I) {
-      caller_answer Answer = World.request("/safe/x", {.Method = "GET"});
+      client_response Answer = World.request("/safe/x", {.Method = "GET"});
       BOOST_TEST(Answer.Status == 200);
     }
     World.Paths["i-1"]->set(proxy_fault::None);
@@ -246,11 +246,11 @@
     World.List->remove(Id);
     World.List->put(*Replica, "127.0.0.1:1");
   }
-  int PollsBefore = World.List->Questions;
+  int PollsBefore = World.List->RequestCount;
   World.until("the gateway has polled the new addresses",
-              [&] { return World.List->Questions > PollsBefore + 2; });
+              [&] { return World.List->RequestCount > PollsBefore + 2; });
   for (const char *Path : {"/safe/x", "/unsafe/x", "/stream/x"}) {
-    caller_answer Answer = World.request(Path);
+    client_response Answer = World.request(Path);
     BOOST_TEST(Answer.Status == 503);
     BOOST_TEST(Answer.outcome() == "not-run");
     BOOST_TEST(!Answer.header("retry-after").empty());
@@ -262,7 +262,7 @@
 
 BOOST_AUTO_TEST_CASE(resume_at_another_upstream_in_the_same_response) {
   served_world World;
-  caller_answer Answer = World.request("/stream/x?events=8");
+  client_response Answer = World.request("/stream/x?events=8");
   BOOST_TEST(Answer.Body == events(1, 8));
   Answer = World.request("/stream/x?events=8&break=3");
   BOOST_TEST(Answer.Status == 200);
@@ -276,7 +276,7 @@
   // The only reachable upstream breaks off the stream and there is no other one
   // to continue it.
   World.Paths["i-1"]->set(proxy_fault::Cut);
-  caller_answer Answer = World.request("/stream/x?events=8&break=3");
+  client_response Answer = World.request("/stream/x?events=8&break=3");
   BOOST_TEST(Answer.Body == events(1, 3));
   BOOST_TEST(!Answer.Error.empty());
 }
@@ -297,7 +297,7 @@
   served_world World;
   for (auto &[Id, Replica] : World.Replicas)
     Replica->Confidence = 0.2;
-  caller_answer Answer =
+  client_response Answer =
       World.request("/stream/x?events=3", {.Headers = {"X-Model: *"}});
   BOOST_TEST(Answer.Body == events(1, 3));
   BOOST_TEST(World.runs(World.LastId) == 2);
@@ -318,9 +318,9 @@
   World.List->Refusals = 3;
   World.List->put(*World.Replicas["i-1"], World.Paths["i-1"]->address(),
                   "draining");
-  int PollsBefore = World.List->Questions;
+  int PollsBefore = World.List->RequestCount;
   World.until("the list has been polled again",
-              [&] { return World.List->Questions > PollsBefore + 6; });
+              [&] { return World.List->RequestCount > PollsBefore + 6; });
   int Before = World.Replicas["i-1"]->runs();
   for (int I = 0; I < 8; ++I)
     BOOST_TEST(World.request("/safe/x", {.Method = "GET"}).Status == 200);
@@ -344,7 +344,7 @@
 // attempt.
 BOOST_AUTO_TEST_CASE(may_have_a_crashed_upstream_on_a_single_attempt_route) {
   served_world World;
-  json Routing = World.usualRouting();
+  json Routing = World.defaultRouting();
   Routing["routes"][1]["max_attempts"] = 1;
   Routing["routes"][1]["path_prefix"] = "/once/";
   BOOST_REQUIRE_EQUAL(World.putRouting(Routing).Status, 200);
@@ -368,7 +368,7 @@
 BOOST_AUTO_TEST_CASE(is_received_from_control_when_polling_fails) {
   gateway_world World;
   World.addReplica({.Id = "i-1"});
-  BOOST_REQUIRE_EQUAL(World.putRouting(World.usualRouting()).Status, 200);
+  BOOST_REQUIRE_EQUAL(World.putRouting(World.defaultRouting()).Status, 200);
   reserved_address Nobody;
   World.startGateway("gateway-1", {{"upstream_list", Nobody.text()}});
   World.untilGatewayReady("gateway-1");
@@ -402,7 +402,7 @@
 void stopControl(gateway_world &World) {
   World.addReplica({.Id = "i-1"});
   World.untilVoters(3);
-  BOOST_REQUIRE_EQUAL(World.putRouting(World.usualRouting()).Status, 200);
+  BOOST_REQUIRE_EQUAL(World.putRouting(World.defaultRouting()).Status, 200);
   for (auto &Node : World.Seeded)
     Node->Process->kill();
 }
@@ -436,7 +436,7 @@
   World.until("the gateway listens", [&] { return listens(World); });
   // The gateway parks a request for at most a third of its deadline, so that
   // the caller still has time to try another gateway.
-  caller_answer Answer =
+  client_response Answer =
       World.request("/unsafe/x", {.Headers = {"X-Deadline-Ms: 900"}});
   BOOST_TEST(Answer.Status == 503);
   BOOST_TEST(!Answer.header("retry-after").empty());
@@ -508,8 +508,8 @@
 BOOST_AUTO_TEST_CASE(
     reaches_gateways_and_is_never_replaced_by_an_older_version) {
   served_world World;
-  json Old = World.usualRouting();
-  json New = World.usualRouting();
+  json Old = World.defaultRouting();
+  json New = World.defaultRouting();
   New["routes"].push_back(New["routes"][0]);
   New["routes"].back()["path_prefix"] = "/added/";
   BOOST_TEST(World.putRouting(New).Status == 200);
@@ -523,11 +523,11 @@
   json Other = New;
   Other["routes"].erase(3);
   BOOST_TEST(World.putRouting(Other).Status == 200);
-  caller_answer Read = World.operatorCall("GET", "/v1/routing", "");
+  client_response Read = World.operatorCall("GET", "/v1/routing", "");
   BOOST_TEST(json::parse(Read.Body) == New);
-  json Invalid = World.usualRouting();
+  json Invalid = World.defaultRouting();
   Invalid["routes"][0]["service"] = "nobody";
-  caller_answer Refused = World.putRouting(Invalid);
+  client_response Refused = World.putRouting(Invalid);
   BOOST_TEST(Refused.Status == 400);
   BOOST_TEST(Refused.Body.find("routes[0].service") != std::string::npos);
   BOOST_TEST(World.request("/added/x", {.Method = "GET"}).Status == 200);
@@ -558,7 +558,7 @@
   World.untilVoters(3);
   seeded_control *Old = World.leaderOf();
   Old->Process->signal(SIGSTOP);
-  json New = World.usualRouting();
+  json New = World.defaultRouting();
   New["routes"][0]["path_prefix"] = "/moved/";
   BOOST_TEST(World.putRouting(New).Status == 200);
   World.until("the change is in force", [&] {
@@ -577,7 +577,7 @@
 BOOST_AUTO_TEST_CASE(keep_acknowledged_changes_after_two_lost_disks) {
   gateway_world World(5);
   World.untilVoters(5);
-  json Routing = World.usualRouting();
+  json Routing = World.defaultRouting();
   BOOST_REQUIRE_EQUAL(World.putRouting(Routing).Status, 200);
   for (int Round = 0; Round < 2; ++Round) {
     // Two members, the leader among them, lose their disks and restart empty.
@@ -594,9 +594,9 @@
     for (seeded_control *Each : Lost)
       Each->Process->start();
     World.untilVoters(5);
-    caller_answer Read = World.operatorCall("GET", "/v1/routing", "");
+    client_response Read = World.operatorCall("GET", "/v1/routing", "");
     BOOST_TEST(json::parse(Read.Body) == Routing);
-    Routing = World.usualRouting();
+    Routing = World.defaultRouting();
     BOOST_REQUIRE_EQUAL(World.putRouting(Routing).Status, 200);
   }
 }
@@ -604,7 +604,7 @@
 BOOST_AUTO_TEST_CASE(replace_a_lost_member_by_one_at_a_new_address) {
   gateway_world World(5);
   World.untilVoters(5);
-  json Routing = World.usualRouting();
+  json Routing = World.defaultRouting();
   BOOST_REQUIRE_EQUAL(World.putRouting(Routing).Status, 200);
   World.Seeded[4]->Process->kill();
   World.addControl(false).Process->start();
@@ -625,7 +625,7 @@
 BOOST_AUTO_TEST_CASE(recover_after_all_restart_at_once) {
   gateway_world World(5);
   World.untilVoters(5);
-  json Routing = World.usualRouting();
+  json Routing = World.defaultRouting();
   BOOST_REQUIRE_EQUAL(World.putRouting(Routing).Status, 200);
   for (auto &Node : World.Seeded)
     Node->Process->kill();
@@ -647,7 +647,7 @@
       World.addReplica({.Id = "i-4", .Version = "v2"});
       for (const char *Id : {"i-3", "i-4"})
         World.Replicas[Id]->Fails = !Good;
-      caller_answer Begun = World.operatorCall(
+      client_response Begun = World.operatorCall(
           "POST", "/v1/rollouts",
           R"({"service":"plain","target_version":"v2","duration_s":6})");
       BOOST_REQUIRE_EQUAL(Begun.Status, 200);
@@ -656,7 +656,7 @@
       World.until("the roll-out has finished", [&] {
         World.request("/unsafe/x");
         ++Sent;
-        caller_answer Read =
+        client_response Read =
             World.operatorCall("GET", "/v1/rollouts/plain", "");
         State = json::parse(Read.Body).value("state", "");
         return State != "running";
--- a/tests/system/list_test.cpp
+++ b/tests/system/list_test.cpp
@@ -20,7 +20,7 @@
   listed_world() {
     addReplica({.Id = "i-1"});
     addReplica({.Id = "i-2"});
-    BOOST_REQUIRE_EQUAL(putRouting(usualRouting()).Status, 200);
+    BOOST_REQUIRE_EQUAL(putRouting(defaultRouting()).Status, 200);
     startGateway("gateway-1");
     untilGatewayReady("gateway-1");
     until("the gateway serves requests", [&] { return served(); });
@@ -40,9 +40,9 @@
   json Malformed = World.List->entryOf("i-1");
   Malformed["id"] = "i-0";
   Malformed.erase("state");
-  World.List->putRaw("i-0", Malformed);
-  World.List->putRaw("i-00", {{"id", 7}, {"service", json::array()}});
-  World.List->putRaw("i-000", "not an entry");
+  World.List->putRawEntry("i-0", Malformed);
+  World.List->putRawEntry("i-00", {{"id", 7}, {"service", json::array()}});
+  World.List->putRawEntry("i-000", "not an entry");
   World.List->remove("i-1");
   World.until("the list is applied",
               [&] { return World.hasLogged("\"left\":1"); });
@@ -65,12 +65,12 @@
   listed_world World;
   json Entry = World.List->entryOf("i-1");
   Entry["born"] = 1760000000000;
-  World.List->putRaw("i-1", Entry);
+  World.List->putRawEntry("i-1", Entry);
   World.List->remove("i-2");
   World.until("only one upstream is listed",
               [&] { return World.hasLogged("\"listed\":1"); });
   Entry["born"] = 1760000100000;
-  World.List->putRaw("i-1", Entry);
+  World.List->putRawEntry("i-1", Entry);
   // The number of listed upstreams is unchanged, but the state held for the
   // upstream is discarded.
   World.until("the previous start is recorded as left", [&] {
@@ -87,15 +87,15 @@
   gateway_world World;
   World.addReplica({.Id = "i-1"});
   World.List->Refusals = 1000000;
-  BOOST_REQUIRE_EQUAL(World.putRouting(World.usualRouting()).Status, 200);
+  BOOST_REQUIRE_EQUAL(World.putRouting(World.defaultRouting()).Status, 200);
   upstream_list_stand_in ForGateways(World.Loop);
   World.startGateway("gateway-1", {{"upstream_list", ForGateways.address()}});
   World.run(4);
-  BOOST_TEST(ForGateways.Questions == 0);
+  BOOST_TEST(ForGateways.RequestCount == 0);
   World.List->Refusals = 0;
   World.untilGatewayReady("gateway-1");
   BOOST_TEST(World.request("/safe/x").Status == 200);
-  BOOST_TEST(ForGateways.Questions == 0);
+  BOOST_TEST(ForGateways.RequestCount == 0);
   BOOST_TEST_CONTEXT("a gateway polls the list itself if control has none") {
     World.List->Refusals = 1000000;
     for (auto &Node : World.Seeded)
@@ -105,7 +105,7 @@
       Node->Process->start();
     World.Gateway->start();
     World.until("the gateway polls the list",
-                [&] { return ForGateways.Questions > 0; });
+                [&] { return ForGateways.RequestCount > 0; });
   }
 }
 
--- a/tests/system/once_test.cpp
+++ b/tests/system/once_test.cpp
@@ -34,19 +34,19 @@
       {"the caller disconnects while it runs", at::CallerGone},
   };
   world World;
-  World.startUsual();
+  World.startDefaultSystem();
   int Number = 0;
   for (const once_fault &Case : Cases) {
     BOOST_TEST_CONTEXT(Case.What) {
       std::string Key = "booking-" + std::to_string(++Number);
       sidecar_node &Sidecar = *World.Sidecars["led"];
-      caller_request Request = booking(Key, 700);
+      client_request Request = booking(Key, 700);
       if (Case.At == at::CallerGone)
         Request.Seconds = 0.4;
       auto First =
           World.begin(World.Entries["entry-1"]->Address.text(), Request);
       World.until("the booking runs", [&] {
-        return runsOf(World.engineCounts(Sidecar), Key) == 1;
+        return bookingRuns(World.engineCounts(Sidecar), Key) == 1;
       });
       if (Case.At == at::EntryKilled)
         World.Entries["entry-1"]->Process->kill();
@@ -60,7 +60,7 @@
         Sidecar.Process->start();
       World.run(0.3);
       Sidecar.Path->set(proxy_fault::None);
-      caller_answer Again;
+      client_response Again;
       World.until(
           "the caller receives the outcome",
           [&] {
@@ -69,7 +69,7 @@
             return Again.Status == 200 || Again.Status == 502;
           },
           25);
-      BOOST_TEST(runsOf(World.engineCounts(Sidecar), Key) == 1U);
+      BOOST_TEST(bookingRuns(World.engineCounts(Sidecar), Key) == 1U);
       if (Case.At == at::SidecarKilled)
         BOOST_TEST(Again.outcome() == "unknown");
       else
@@ -85,7 +85,7 @@
           Node->Process->start();
       for (auto &[Name, Node] : World.Entries)
         World.untilReady(Node->Health);
-      World.untilAllVote();
+      World.untilAllAreVoters();
       World.until("the sidecar serves", [&] {
         return World
                    .call(World.Entries["entry-1"]->Address.text(),
@@ -95,8 +95,8 @@
     }
   }
   BOOST_TEST_CONTEXT("a key used for another request is refused") {
-    caller_answer Other = World.call(World.Entries["entry-2"]->Address.text(),
-                                     booking("booking-1", 1));
+    client_response Other = World.call(World.Entries["entry-2"]->Address.text(),
+                                       booking("booking-1", 1));
     BOOST_TEST(Other.Status == 422);
     BOOST_TEST(Other.outcome() == "not-run");
   }
@@ -104,31 +104,31 @@
 
 BOOST_AUTO_TEST_CASE(that_never_started_can_be_retried) {
   world World;
-  World.startUsual();
+  World.startDefaultSystem();
   sidecar_node &Sidecar = *World.Sidecars["led"];
   // The attempt is lost on the way to the sidecar. Once the path is restored,
   // the entry finds out that it never ran and the key can be used again.
-  Sidecar.Path->set(proxy_fault::HoleToServer);
-  caller_request Request = booking("lost", 0);
+  Sidecar.Path->set(proxy_fault::DropToServer);
+  client_request Request = booking("lost", 0);
   Request.Headers.push_back("X-Deadline-Ms: 9000");
   auto First = World.begin(World.Entries["entry-1"]->Address.text(), Request);
   World.run(1);
   Sidecar.Path->set(proxy_fault::Cut);
   Sidecar.Path->set(proxy_fault::None);
   World.until("the request is answered", [&] { return First->Done; });
-  uint64_t Runs = runsOf(World.engineCounts(Sidecar), "lost");
+  uint64_t Runs = bookingRuns(World.engineCounts(Sidecar), "lost");
   BOOST_TEST(Runs <= 1U);
   if (First->Status == 200)
     BOOST_TEST(Runs == 1U);
   if (First->outcome() == "not-run")
     BOOST_TEST(Runs == 0U);
-  caller_answer Again;
+  client_response Again;
   World.until("the booking succeeds", [&] {
     Again = World.call(World.Entries["entry-2"]->Address.text(),
                        booking("lost", 0));
     return Again.Status == 200;
   });
-  BOOST_TEST(runsOf(World.engineCounts(Sidecar), "lost") == 1U);
+  BOOST_TEST(bookingRuns(World.engineCounts(Sidecar), "lost") == 1U);
 }
 
 // Guards against a key that stays claimed for ever. The entry that claimed it
@@ -136,10 +136,10 @@
 // that the attempt never started and runs the request.
 BOOST_AUTO_TEST_CASE(whose_entry_is_killed_before_sending_can_be_retried) {
   world World;
-  World.startUsual();
+  World.startDefaultSystem();
   sidecar_node &Sidecar = *World.Sidecars["led"];
   uint64_t Before = World.statusOf(World.leader())["claims"];
-  Sidecar.Path->set(proxy_fault::HoleToServer);
+  Sidecar.Path->set(proxy_fault::DropToServer);
   auto First = World.begin(World.Entries["entry-1"]->Address.text(),
                            booking("orphan", 0));
   World.until("the claim is committed", [&] {
@@ -148,13 +148,13 @@
   World.Entries["entry-1"]->Process->kill();
   Sidecar.Path->set(proxy_fault::Cut);
   Sidecar.Path->set(proxy_fault::None);
-  BOOST_TEST(runsOf(World.engineCounts(Sidecar), "orphan") == 0U);
+  BOOST_TEST(bookingRuns(World.engineCounts(Sidecar), "orphan") == 0U);
   World.until("the booking succeeds", [&] {
-    caller_answer Again = World.call(World.Entries["entry-2"]->Address.text(),
-                                     booking("orphan", 0));
+    client_response Again = World.call(World.Entries["entry-2"]->Address.text(),
+                                       booking("orphan", 0));
     return Again.Status == 200;
   });
-  BOOST_TEST(runsOf(World.engineCounts(Sidecar), "orphan") == 1U);
+  BOOST_TEST(bookingRuns(World.engineCounts(Sidecar), "orphan") == 1U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/system/path_test.cpp
+++ b/tests/system/path_test.cpp
@@ -58,11 +58,11 @@
 
 BOOST_AUTO_TEST_CASE(answers_plain_streamed_and_service_requests) {
   world World;
-  World.startUsual(1);
+  World.startDefaultSystem(1);
   std::string Entry = World.Entries["entry-1"]->Address.text();
 
   BOOST_TEST_CONTEXT("a plain response names the version and the upstream") {
-    caller_answer Answer =
+    client_response Answer =
         World.call(Entry, {.Body = chatBody("plan", "tokens=3")});
     BOOST_TEST(Answer.Status == 200);
     BOOST_TEST(!Answer.version().empty());
@@ -70,14 +70,14 @@
     BOOST_TEST(json::parse(Answer.Body)["usage"]["completion_tokens"] == 3);
   }
   BOOST_TEST_CONTEXT("a stream is forwarded up to its end") {
-    caller_answer Answer =
+    client_response Answer =
         World.call(Entry, {.Body = chatBody("plan", "tokens=40", true)});
     BOOST_TEST(Answer.Status == 200);
     BOOST_TEST(Answer.Error == "");
     BOOST_TEST(Answer.Body.ends_with("data: [DONE]\n\n"));
   }
   BOOST_TEST_CONTEXT("a stream that is cut short ends in an error") {
-    caller_answer Answer =
+    client_response Answer =
         World.call(Entry, {.Body = chatBody("plan", "tokens=40 cut=10", true)});
     BOOST_TEST(Answer.Error != "");
   }
@@ -89,7 +89,7 @@
                  .get<uint64_t>();
     };
     uint64_t Before = Cancelled();
-    caller_answer Left = World.call(
+    client_response Left = World.call(
         Entry, {.Body = chatBody("plan", "tokens=100000 gap=5", true),
                 .Seconds = 0.3});
     BOOST_TEST(Left.Error != "");
@@ -113,7 +113,7 @@
   }
   struct refusal_case {
     const char *What;
-    caller_request Request;
+    client_request Request;
     int Status;
     const char *Code;
   };
@@ -148,7 +148,7 @@
   };
   for (const refusal_case &Case : Cases) {
     BOOST_TEST_CONTEXT(Case.What) {
-      caller_answer Answer = World.call(Entry, Case.Request);
+      client_response Answer = World.call(Entry, Case.Request);
       BOOST_TEST(Answer.Status == Case.Status);
       BOOST_TEST(Answer.outcome() == "not-run");
       json Body = json::parse(Answer.Body, nullptr, false);
@@ -163,7 +163,7 @@
 // complete response when it reads later.
 BOOST_AUTO_TEST_CASE(a_slow_caller_throttles_its_engine) {
   world World;
-  World.startUsual(1);
+  World.startDefaultSystem(1);
   constexpr uint64_t Tokens = 30000;
   std::string Body =
       chatBody("plan", "pad=1500 gap=0 tokens=" + std::to_string(Tokens), true);
@@ -204,9 +204,9 @@
 BOOST_AUTO_TEST_CASE(a_request_above_the_limit_is_refused_as_not_run) {
   world World;
   World.EntrySettings = {{"max_open_requests", 2}};
-  World.startUsual(1);
+  World.startDefaultSystem(1);
   std::string Entry = World.Entries["entry-1"]->Address.text();
-  std::vector<std::shared_ptr<caller_answer>> Open;
+  std::vector<std::shared_ptr<client_response>> Open;
   for (int I = 0; I < 2; ++I)
     Open.push_back(World.begin(Entry, {.Body = chatBody("plan", "first=800")}));
   World.until("both requests run", [&] {
@@ -214,13 +214,13 @@
                World.engineCounts(*World.Sidecars["b"])["running"].get<int>() ==
            2;
   });
-  caller_answer Third = World.call(Entry, {.Body = chatBody("plan", "x")});
+  client_response Third = World.call(Entry, {.Body = chatBody("plan", "x")});
   BOOST_TEST(Third.Status == 503);
   BOOST_TEST(Third.outcome() == "not-run");
   BOOST_TEST(Third.header("retry-after") == "1");
   World.until("both requests are answered",
               [&] { return Open[0]->Status == 200 && Open[1]->Status == 200; });
-  caller_answer Wide =
+  client_response Wide =
       World.call(Entry, {.Body = chatBody("plan", "x"),
                          .Headers = {"X-Wide: " + std::string(40 << 10, 'x')}});
   BOOST_TEST(Wide.Status == 431);
@@ -229,7 +229,7 @@
 
 BOOST_AUTO_TEST_CASE(the_log_level_can_be_changed_at_run_time) {
   world World;
-  World.startUsual(1);
+  World.startDefaultSystem(1);
   entry_node &Entry = *World.Entries["entry-1"];
   auto SetLevel = [&](const std::string &Level) {
     return World
@@ -238,7 +238,7 @@
         .Status;
   };
   auto Logged = [&](const std::string &Level) {
-    caller_answer Answer =
+    client_response Answer =
         World.call(Entry.Address.text(), {.Body = chatBody("plan", Level)});
     std::string Id = Answer.header("x-request-id");
     World.until("the response is complete",
--- a/tests/system/paths_test.cpp
+++ b/tests/system/paths_test.cpp
@@ -142,9 +142,9 @@
 // error.
 BOOST_AUTO_TEST_CASE(misplaced_duplicate_or_missing_frames_give_an_error) {
   world World;
-  World.startUsual(1);
+  World.startDefaultSystem(1);
   misbehaving_sidecar Misbehaving(World);
-  json Config = World.usualConfig();
+  json Config = World.defaultConfig();
   Config["models"]["rough"] = {{"versions", {{"1", json::object()}}}};
   Config["accounts"]["dispatch"]["models"] = {"olive-llm", "rough"};
   Config["upstreams"]["rough"] = {{"address", Misbehaving.address()},
@@ -159,7 +159,7 @@
     for (bool Stream : {false, true}) {
       BOOST_TEST_CONTEXT(Case.What << (Stream ? ", streamed" : ", plain")) {
         Misbehaving.Steps = Case.Steps;
-        caller_answer Answer = SendRequest(Stream);
+        client_response Answer = SendRequest(Stream);
         if (Case.Complete) {
           BOOST_TEST(Answer.Status == 200);
           BOOST_TEST(Answer.Error == "");
@@ -187,27 +187,27 @@
 BOOST_AUTO_TEST_CASE(network_faults_cause_no_wrong_outcomes) {
   const path_fault Cases[] = {
       {"connections are cut", proxy_fault::Cut},
-      {"bytes are lost in both directions", proxy_fault::Hole},
-      {"bytes are lost towards the sidecar", proxy_fault::HoleToServer},
-      {"bytes are lost towards the entry", proxy_fault::HoleToClient},
+      {"bytes are lost in both directions", proxy_fault::DropAll},
+      {"bytes are lost towards the sidecar", proxy_fault::DropToServer},
+      {"bytes are lost towards the entry", proxy_fault::DropToClient},
       {"connections are half closed", proxy_fault::HalfClose},
       {"bytes arrive in small pieces", proxy_fault::Drip},
       {"the path is slow", proxy_fault::Slow},
   };
   world World;
-  World.startUsual(1);
+  World.startDefaultSystem(1);
   sidecar_node &Service = *World.Sidecars["led"];
   int Booking = 0;
   for (const path_fault &Case : Cases) {
     BOOST_TEST_CONTEXT(Case.What) {
-      std::map<std::string, std::shared_ptr<caller_answer>> Bookings;
-      std::map<int, std::shared_ptr<caller_answer>> Plain;
-      std::vector<std::shared_ptr<caller_answer>> Streams;
+      std::map<std::string, std::shared_ptr<client_response>> Bookings;
+      std::map<int, std::shared_ptr<client_response>> Plain;
+      std::vector<std::shared_ptr<client_response>> Streams;
       auto SendAll = [&] {
         for (auto &[Name, Node] : World.Entries) {
           std::string Entry = Node->Address.text();
           std::string Key = "path-" + std::to_string(++Booking);
-          caller_request Book = booking(Key, 30);
+          client_request Book = booking(Key, 30);
           Book.Headers.push_back("X-Deadline-Ms: 4000");
           Bookings[Key] = World.begin(Entry, Book);
           int Tokens = 2 + int(Plain.size());
@@ -244,7 +244,7 @@
       json Counts = World.engineCounts(Service);
       int Served = 0;
       for (const auto &[Key, Answer] : Bookings) {
-        uint64_t Runs = runsOf(Counts, Key);
+        uint64_t Runs = bookingRuns(Counts, Key);
         BOOST_TEST(Runs <= 1U);
         BOOST_TEST((Answer->Status != 200 || Runs == 1));
         BOOST_TEST((Answer->outcome() != "not-run" || Runs == 0));
--- a/tests/system/pauses_test.cpp
+++ b/tests/system/pauses_test.cpp
@@ -25,7 +25,7 @@
   paused_world() {
     addReplica({.Id = "i-1"});
     addReplica({.Id = "i-2"});
-    BOOST_REQUIRE_EQUAL(putRouting(usualRouting()).Status, 200);
+    BOOST_REQUIRE_EQUAL(putRouting(defaultRouting()).Status, 200);
     startGateway("gateway-1");
     untilGatewayReady("gateway-1");
     until("both upstreams serve", [&] {
@@ -40,15 +40,16 @@
   }
 
   /// Sends requests while the gateway is suspended, each on its own connection.
-  std::vector<std::shared_ptr<caller_answer>> beginMany(int Count) {
-    std::vector<std::shared_ptr<caller_answer>> Answers;
+  std::vector<std::shared_ptr<client_response>> beginMany(int Count) {
+    std::vector<std::shared_ptr<client_response>> Answers;
     for (int I = 0; I < Count; ++I)
       Answers.push_back(beginRequest("/safe/x", {.Method = "GET"}));
     // Until their bytes have reached the gateway's sockets.
     pauseFor(0.3);
     return Answers;
   }
-  void testServed(const std::vector<std::shared_ptr<caller_answer>> &Answers) {
+  void
+  testServed(const std::vector<std::shared_ptr<client_response>> &Answers) {
     until("all requests are answered", [&] {
       return std::all_of(Answers.begin(), Answers.end(),
                          [](const auto &Each) { return Each->Done; });
--- a/tests/system/placement_test.cpp
+++ b/tests/system/placement_test.cpp
@@ -10,7 +10,7 @@
 constexpr const char *Names[] = {"p1", "p2", "p3", "p4"};
 
 json rollingModel(const std::string &State1, const std::string &State3) {
-  json Model = modelWith(State1, "active");
+  json Model = modelWithVersionStates(State1, "active");
   if (!State3.empty())
     Model["versions"]["3"] = {{"state", State3}};
   return Model;
@@ -66,7 +66,7 @@
         [&] { return loadedCount(Version) >= MinCount; }, 60);
   }
 
-  caller_answer requestVersion(const std::string &Version) {
+  client_response requestVersion(const std::string &Version) {
     return ask(Entries["entry-1"]->Address.text(),
                {.Body = chatBody("olive-llm@" + Version, "x")});
   }
@@ -119,12 +119,13 @@
   World.untilLoaded("olive-llm@3", 4);
 
   BOOST_TEST_MESSAGE("an engine restarts with no version loaded");
-  World.steerEngine(*World.Sidecars["p1"]->Engine, {{"forget_models", true}});
+  World.configureEngine(*World.Sidecars["p1"]->Engine,
+                        {{"forget_models", true}});
   World.untilLoaded("olive-llm@3", 4);
 
   BOOST_TEST_MESSAGE("a late order of a sidecar that has since been replaced");
   stand_in &Engine = *World.Sidecars["p2"]->Engine;
-  caller_answer Late = World.call(
+  client_response Late = World.call(
       Engine.address(), {.Method = "PUT",
                          .Path = "/models",
                          .Body = R"({"fence": 1, "models": ["olive-llm@1"]})"});
--- a/tests/system/repeats_test.cpp
+++ b/tests/system/repeats_test.cpp
@@ -27,7 +27,7 @@
   bounded_world(size_t Upstreams, shared_bound NewBound) : Bound(NewBound) {
     for (size_t I = 1; I <= Upstreams; ++I)
       addReplica({.Id = "i-" + std::to_string(I)});
-    BOOST_REQUIRE_EQUAL(putRouting(usualRouting()).Status, 200);
+    BOOST_REQUIRE_EQUAL(putRouting(defaultRouting()).Status, 200);
     startGateway("gateway-1", {{"retry_ratio", Bound.Ratio},
                                {"retry_slack", Bound.Slack},
                                {"retry_window_seconds", WindowSeconds}});
--- a/tests/system/rest_test.cpp
+++ b/tests/system/rest_test.cpp
@@ -26,9 +26,9 @@
   explicit backoff_world(size_t Upstreams) {
     for (size_t I = 1; I <= Upstreams; ++I)
       addReplica({.Id = "i-" + std::to_string(I)});
-    startServing(usualRouting());
+    startServing(defaultRouting());
   }
-  int sendRequest(const std::string &Path, caller_request Request = {}) {
+  int sendRequest(const std::string &Path, client_request Request = {}) {
     return request(Path, std::move(Request)).Status;
   }
   void refuse(replica &Replica, const std::string &RetryAfter) {
@@ -48,7 +48,7 @@
   /// Number of requests that reach the upstream between the end of the grace
   /// period and the end of its backoff.
   int arrivalsInBackoff(replica &Replica, double RefusedAt,
-                        const std::string &Path, caller_request Request = {}) {
+                        const std::string &Path, client_request Request = {}) {
     run(GraceSeconds);
     int Before = Replica.arrivals();
     // The backoff began some time before the test observed the refusal.
@@ -59,7 +59,7 @@
   }
 };
 
-const caller_request AnyModel = {
+const client_request AnyModel = {
     .Headers = {"X-Model: *", "X-Token-Count: 100,20"}};
 
 } // namespace
@@ -111,7 +111,7 @@
   int Before = Soon.arrivals();
   std::set<std::string> Advice;
   for (int I = 0; I < 5; ++I) {
-    caller_answer Answer = World.request("/unsafe/x");
+    client_response Answer = World.request("/unsafe/x");
     BOOST_TEST(Answer.Status == 503);
     BOOST_TEST(Answer.outcome() == "not-run");
     double Seconds = std::atof(Answer.header("retry-after").c_str());
@@ -138,7 +138,7 @@
 BOOST_AUTO_TEST_CASE(that_report_leaving_get_no_more_requests) {
   backoff_world World(2);
   replica &Leaving = *World.Replicas["i-1"];
-  Leaving.SaysLeaving = true;
+  Leaving.AnnouncesShutdown = true;
   int Before = Leaving.runs();
   World.until("the upstream responds", [&] {
     World.sendRequest("/safe/x");
@@ -151,13 +151,13 @@
   BOOST_TEST(Leaving.arrivals() == Before);
   BOOST_TEST_CONTEXT(
       "an upstream that restarts under the same id gets requests") {
-    Leaving.SaysLeaving = false;
+    Leaving.AnnouncesShutdown = false;
     json Entry = World.List->entryOf("i-1");
     Entry["born"] = 1760000000000;
-    World.List->putRaw("i-1", Entry);
+    World.List->putRawEntry("i-1", Entry);
     World.run(1);
     Entry["born"] = 1760000100000;
-    World.List->putRaw("i-1", Entry);
+    World.List->putRawEntry("i-1", Entry);
     World.until("the upstream gets a request", [&] {
       World.sendRequest("/safe/x");
       return Leaving.arrivals() > Before;
--- a/tests/system/routing_size_test.cpp
+++ b/tests/system/routing_size_test.cpp
@@ -34,7 +34,7 @@
     addReplica({.Id = "i-1"});
     addReplica({.Id = "i-2"});
     untilVoters(3);
-    BOOST_REQUIRE_EQUAL(putRouting(usualRouting()).Status, 200);
+    BOOST_REQUIRE_EQUAL(putRouting(defaultRouting()).Status, 200);
     Path = std::make_unique<control_path>(Loop, nodeAddressOf(*leaderOf()));
   }
   ~slow_link_world() { Gateway->kill(); }
@@ -152,14 +152,14 @@
   // With this delay every list from control is stale on arrival, so the gateway
   // must poll the platform itself as often as if it received nothing.
   World.Path->DelaySeconds = 3;
-  int Before = OwnList.Questions;
+  int Before = OwnList.RequestCount;
   World.until("the gateway polls the platform",
-              [&] { return OwnList.Questions >= Before + 3; });
+              [&] { return OwnList.RequestCount >= Before + 3; });
 }
 
 BOOST_AUTO_TEST_CASE(uses_little_memory_for_gateways_that_do_not_read) {
   constexpr int Gateways = 16;
-  constexpr int Questions = 40;
+  constexpr int RequestCount = 40;
   gateway_world World;
   World.untilVoters(3);
   BOOST_REQUIRE_EQUAL(World.putRouting(World.largeRouting(ManyRoutes)).Status,
@@ -181,8 +181,8 @@
     Pollers[size_t(I)]->Path.set(proxy_fault::ClientStalls);
   constexpr uint64_t FirstKey = 1000;
   for (int I = 1; I <= Gateways; ++I)
-    for (int Question = 0; Question < Questions; ++Question)
-      Pollers[size_t(I)]->poll(Question + 1 == Questions ? FirstKey + I : 0);
+    for (int Question = 0; Question < RequestCount; ++Question)
+      Pollers[size_t(I)]->poll(Question + 1 == RequestCount ? FirstKey + I : 0);
   // The last poll of each stalled gateway carries a key that control passes on
   // to the one that reads, which shows that control has processed all polls.
   World.until("control has processed all polls", [&] {
@@ -195,7 +195,7 @@
   BOOST_TEST_MESSAGE("memory use is not checked in this build");
 #else
   constexpr double MaxMb = 128;
-  BOOST_TEST(useOf(*Leader.Process).ResidentMb < MaxMb);
+  BOOST_TEST(resourceUseOf(*Leader.Process).ResidentMb < MaxMb);
 #endif
   BOOST_TEST(Leader.Process->running());
 }
--- a/tests/system/stops_test.cpp
+++ b/tests/system/stops_test.cpp
@@ -37,7 +37,7 @@
 
 BOOST_AUTO_TEST_CASE(a_session_keeps_its_version) {
   world World;
-  World.startUsual();
+  World.startDefaultSystem();
   auto SendRequest = [&](const std::string &Entry, int Session) {
     return World.ask(World.Entries[Entry]->Address.text(),
                      {.Body = chatBody("plan", "x"),
@@ -70,7 +70,8 @@
       BOOST_TEST(SendRequest("entry-1", I).version() == Pinned[I]);
   }
   BOOST_TEST_CONTEXT("the version changes when it is withdrawn") {
-    World.putObject("model", "olive-llm", modelWith("withdrawn", "active"));
+    World.putObject("model", "olive-llm",
+                    modelWithVersionStates("withdrawn", "active"));
     for (int I = 0; I < Sessions; ++I)
       BOOST_TEST(SendRequest("entry-2", I).version() == "2");
   }
@@ -81,14 +82,14 @@
 BOOST_AUTO_TEST_CASE(a_rolling_restart_aborts_no_request) {
   world World;
   World.ExtraSettings = {{"unready_seconds", 1}};
-  World.startUsual();
+  World.startDefaultSystem();
   balancer Balancer(World);
   struct tally {
     int Complete = 0;
     int Aborted = 0;
     int Refused = 0;
   } Tally;
-  std::vector<std::shared_ptr<caller_answer>> Open;
+  std::vector<std::shared_ptr<client_response>> Open;
   auto Collect = [&] {
     std::erase_if(Open, [&](const auto &Answer) {
       if (!Answer->Done)
@@ -160,14 +161,14 @@
 // request that still arrives is served. Also drains an upstream.
 BOOST_AUTO_TEST_CASE(an_operator_drains_an_entry_and_an_upstream) {
   world World;
-  World.startUsual(1);
+  World.startDefaultSystem(1);
   entry_node &Entry = *World.Entries["entry-1"];
   auto Running = World.begin(Entry.Address.text(),
                              {.Body = chatBody("plan", "tokens=40 gap=20")});
   BOOST_TEST(World.ctl({"drain", "entry-1"}).ExitCode == 0);
   BOOST_TEST(!World.ready(Entry.Health));
   BOOST_TEST(World.ready(World.Entries["entry-2"]->Health));
-  caller_answer Late =
+  client_response Late =
       World.call(Entry.Address.text(), {.Body = chatBody("plan", "x")});
   BOOST_TEST(Late.Status == 200);
   auto Listed = [&](const std::string &Name) {
--- a/tests/system/strangers_test.cpp
+++ b/tests/system/strangers_test.cpp
@@ -60,7 +60,7 @@
   World.ExtraSettings = {{"keys",
                           {{"public_file", Prefix + ".public"},
                            {"secret_file", Prefix + ".secret"}}}};
-  World.startUsual(3);
+  World.startDefaultSystem(3);
   sidecar_node &Sidecar = *World.Sidecars["a"];
   uint64_t Before = World.engineCounts(Sidecar)["started"];
 
@@ -102,8 +102,9 @@
     for (char &C : Bytes)
       C = char(Random());
     sendRaw(Ports[size_t(I) % Ports.size()], Bytes);
-    caller_answer Answer = World.call(World.Entries["entry-1"]->Address.text(),
-                                      {.Body = chatBody("plan", "x")});
+    client_response Answer =
+        World.call(World.Entries["entry-1"]->Address.text(),
+                   {.Body = chatBody("plan", "x")});
     BOOST_TEST(Answer.Status == 200);
   }
   BOOST_TEST(World.engineCounts(Sidecar)["started"].get<uint64_t>() <=
@@ -124,7 +125,7 @@
 // sidecar.
 BOOST_AUTO_TEST_CASE(duplicated_and_late_attempts_run_once) {
   world World;
-  World.startUsual(1);
+  World.startDefaultSystem(1);
   sidecar_node &Sidecar = *World.Sidecars["led"];
   link_context Context;
   uint64_t Incarnation = 0;
@@ -171,14 +172,14 @@
   Link.send(Attempt(3, Incarnation));
   World.until("the attempts are refused", [&] { return Refused >= 2; });
   json Counts = World.engineCounts(Sidecar);
-  BOOST_TEST(runsOf(Counts, "rough-1") == 1U);
-  BOOST_TEST(runsOf(Counts, "rough-2") == 0U);
-  BOOST_TEST(runsOf(Counts, "rough-3") == 0U);
+  BOOST_TEST(bookingRuns(Counts, "rough-1") == 1U);
+  BOOST_TEST(bookingRuns(Counts, "rough-2") == 0U);
+  BOOST_TEST(bookingRuns(Counts, "rough-3") == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(cannot_smuggle_requests) {
   world World;
-  World.startUsual(1);
+  World.startDefaultSystem(1);
   uint64_t Before = World.engineCounts(*World.Sidecars["led"])["started"];
   const std::string Head = "POST /ledger/x HTTP/1.1\r\nHost: a\r\n"
                            "Authorization: Bearer demo-dispatch\r\n"
@@ -202,7 +203,7 @@
 BOOST_AUTO_TEST_CASE(that_send_nothing_are_closed_to_make_room_for_callers) {
   world World;
   World.EntrySettings = {{"max_open_requests", 10}};
-  World.startUsual(1);
+  World.startDefaultSystem(1);
   const std::string Address = World.Entries["entry-1"]->Address.text();
   auto Running = World.begin(
       Address, {.Body = chatBody("plan", "tokens=400 gap=5", true)});
--- a/tests/system/versions_test.cpp
+++ b/tests/system/versions_test.cpp
@@ -11,15 +11,15 @@
 // roll-out without an operator, and requests go back to the last good version.
 BOOST_AUTO_TEST_CASE(a_bad_roll_out_is_stopped_by_the_guard) {
   world World;
-  World.startUsual();
+  World.startDefaultSystem();
   std::string Entry = World.Entries["entry-1"]->Address.text();
   for (const char *Name : {"a", "b"})
-    World.steerEngine(*World.Sidecars[Name]->Engine,
-                      {{"qualities", {{"olive-llm@2", 0.3}}}});
+    World.configureEngine(*World.Sidecars[Name]->Engine,
+                          {{"qualities", {{"olive-llm@2", 0.3}}}});
   json Template = {{"candidates", {"olive-llm"}},
                    {"policy", {{"kind", "cheapest"}}}};
   World.putObject("template", "plan", Template);
-  json Model = modelWith("active", "rolling");
+  json Model = modelWithVersionStates("active", "rolling");
   Model["versions"]["2"]["exposure_budget"] = 25;
   World.putObject("model", "olive-llm", Model);
   auto State = [&] {
@@ -35,7 +35,7 @@
       "the guard stops the version",
       [&] {
         for (int I = 0; I < 10; ++I) {
-          caller_answer Answer = World.call(
+          client_response Answer = World.call(
               Entry, {.Body = chatBody("plan", "n" + std::to_string(Sent++))});
           BOOST_TEST(Answer.Status == 200);
           OnBad += Answer.version() == "2" ? 1 : 0;
@@ -48,7 +48,7 @@
   // Its exposure budget, and the requests that it got for its ratings before
   // these showed that it is bad.
   BOOST_TEST(OnBad <= 60);
-  caller_answer After = World.call(Entry, {.Body = chatBody("plan", "x")});
+  client_response After = World.call(Entry, {.Body = chatBody("plan", "x")});
   BOOST_TEST(After.version() == "1");
 }
 
@@ -58,24 +58,25 @@
 // version.
 BOOST_AUTO_TEST_CASE(a_version_that_sidecars_refuse_is_replaced_by_another) {
   world World;
-  World.startUsual();
-  World.putObject("model", "olive-llm", modelWith("active", "active"));
+  World.startDefaultSystem();
+  World.putObject("model", "olive-llm",
+                  modelWithVersionStates("active", "active"));
   std::string Entry = World.Entries["entry-1"]->Address.text();
-  World.isolateNode("entry-1", proxy_fault::Hole);
-  World.begin(
-      World.leader().Operators.text(),
-      {.Path = "/v1/changes",
-       .Body = json({{"change_id", "withdrawal"},
-                     {"changes",
-                      {{{"kind", "model"},
-                        {"name", "olive-llm"},
-                        {"document", modelWith("active", "withdrawn")}}}}})
-                   .dump(),
-       .Key = ""});
+  World.isolateNode("entry-1", proxy_fault::DropAll);
+  World.begin(World.leader().Operators.text(),
+              {.Path = "/v1/changes",
+               .Body = json({{"change_id", "withdrawal"},
+                             {"changes",
+                              {{{"kind", "model"},
+                                {"name", "olive-llm"},
+                                {"document", modelWithVersionStates(
+                                                 "active", "withdrawn")}}}}})
+                           .dump(),
+               .Key = ""});
   World.run(0.5);
   std::map<std::string, int> Versions;
   for (int I = 0; I < 20; ++I) {
-    caller_answer Answer =
+    client_response Answer =
         World.call(Entry, {.Body = chatBody("plan", "n" + std::to_string(I))});
     BOOST_TEST(Answer.Status == 200);
     ++Versions[Answer.version()];
@@ -89,7 +90,7 @@
 // operator can override the guard.
 BOOST_AUTO_TEST_CASE(a_version_stopped_for_one_template_serves_the_others) {
   world World;
-  World.startUsual(1);
+  World.startDefaultSystem(1);
   std::string Entry = World.Entries["entry-1"]->Address.text();
   json Split = {{"candidates", {"olive-llm@1", "olive-llm@2"}},
                 {"policy", {{"kind", "split"}, {"weights", {0, 1}}}}};
@@ -104,7 +105,7 @@
         .version();
   };
   BOOST_TEST(Used("plan", "s") == "2");
-  json Model = modelWith("active", "active");
+  json Model = modelWithVersionStates("active", "active");
   Model["versions"]["2"]["stopped_for"] = {{"templates", {"plan"}}};
   World.putObject("model", "olive-llm", Model);
   for (int I = 0; I < 10; ++I) {
@@ -122,8 +123,8 @@
 // the sidecar does and makes the entry choose the free upstream.
 BOOST_AUTO_TEST_CASE(a_request_does_not_wait_while_another_upstream_is_free) {
   world World;
-  World.startUsual(1);
-  json Config = World.usualConfig();
+  World.startDefaultSystem(1);
+  json Config = World.defaultConfig();
   for (const char *Name : {"a", "b"})
     Config["upstreams"][Name]["slots"] = 1;
   World.apply(Config);
@@ -133,7 +134,7 @@
   World.until("the long request runs",
               [&] { return !Long->upstream().empty(); });
   for (int I = 0; I < 10; ++I) {
-    caller_answer Answer =
+    client_response Answer =
         World.call(World.Entries["entry-2"]->Address.text(),
                    {.Body = chatBody("plan", std::to_string(I) + " x")});
     BOOST_TEST(Answer.Status == 200);
@@ -148,11 +149,11 @@
 // next request is served, without waiting until a breaker's pause is over.
 BOOST_AUTO_TEST_CASE(upstreams_are_used_at_once_after_all_recover) {
   world World;
-  World.startUsual(1);
+  World.startDefaultSystem(1);
   std::string Entry = World.Entries["entry-1"]->Address.text();
   auto Fail = [&](int Status) {
     for (const char *Name : {"a", "b"})
-      World.steerEngine(
+      World.configureEngine(
           *World.Sidecars[Name]->Engine,
           {{"failing", {{"olive-llm@1", Status}, {"olive-llm@2", Status}}}});
   };
@@ -161,7 +162,7 @@
     BOOST_TEST(World.call(Entry, {.Body = chatBody("plan", "x")}).Status >=
                500);
   Fail(0);
-  caller_answer Answer = World.call(Entry, {.Body = chatBody("plan", "x")});
+  client_response Answer = World.call(Entry, {.Body = chatBody("plan", "x")});
   BOOST_TEST(Answer.Status == 200);
   BOOST_TEST_MESSAGE("after all upstreams have recovered: " << Answer.Body);
 }
@@ -170,8 +171,8 @@
 // capacity requests are still served, and after it all of them are, as before.
 BOOST_AUTO_TEST_CASE(service_recovers_after_an_overload) {
   world World;
-  World.startUsual(1);
-  json Config = World.usualConfig();
+  World.startDefaultSystem(1);
+  json Config = World.defaultConfig();
   for (const char *Name : {"a", "b"})
     Config["upstreams"][Name]["slots"] = 4;
   World.apply(Config);
@@ -185,7 +186,7 @@
   };
   auto Drive = [&](int Count, size_t AtOnce) {
     goodput Result;
-    std::vector<std::shared_ptr<caller_answer>> Open;
+    std::vector<std::shared_ptr<client_response>> Open;
     int Sent = 0;
     while (Result.Good + Result.NotRun + Result.Other < Count) {
       while (Sent < Count && Open.size() < AtOnce) {
--- a/tests/system/warming_test.cpp
+++ b/tests/system/warming_test.cpp
@@ -32,7 +32,7 @@
     for (size_t I = 1; I <= Upstreams; ++I)
       addReplica({.Id = "i-" + std::to_string(I),
                   .DataHall = I % 2 == 1 ? "charguia" : "lac"});
-    json Routing = usualRouting();
+    json Routing = defaultRouting();
     Routing["services"][0]["cold_start_s"] = ColdStartSeconds;
     Routing["services"][0]["cold_requests_per_s"] = ColdRequestsPerSecond;
     startServing(Routing, {{"cold_ratio", Ratio}, {"cold_slack", Slack}});
@@ -50,7 +50,7 @@
     std::map<int, int> Counts;
     double End = steadySeconds() + Seconds;
     while (steadySeconds() < End) {
-      std::vector<std::shared_ptr<caller_answer>> Answers;
+      std::vector<std::shared_ptr<client_response>> Answers;
       for (int I = 0; I < AtOnce; ++I)
         Answers.push_back(beginRequest(Path));
       for (const auto &Answer : Answers) {
@@ -82,7 +82,7 @@
   BOOST_TEST(Sent <=
              int((steadySeconds() - Since + 1) * ColdRequestsPerSecond));
   BOOST_TEST(Sent >= 2);
-  BOOST_TEST(Cold.mostInASecond(Since) <= MaxColdInASecond);
+  BOOST_TEST(Cold.maxArrivalsPerSecond(Since) <= MaxColdInASecond);
   BOOST_TEST_CONTEXT(
       "the limit ends when the list shows the upstream as warm") {
     World.List->setCold("i-1", 0);
@@ -101,8 +101,9 @@
   BOOST_TEST(Counts[200] >= 3);
   BOOST_TEST(Counts[503] > 100);
   BOOST_TEST(Counts.size() == 2U);
-  BOOST_TEST(World.Replicas["i-1"]->mostInASecond(Since) <= MaxColdInASecond);
-  caller_answer Refused;
+  BOOST_TEST(World.Replicas["i-1"]->maxArrivalsPerSecond(Since) <=
+             MaxColdInASecond);
+  client_response Refused;
   World.until("a request is refused", [&] {
     Refused = World.request("/unsafe/x");
     return Refused.Status == 503;
@@ -126,8 +127,9 @@
   double Since = steadySeconds();
   Order("restore");
   World.sendBatches(10, 3);
-  BOOST_TEST(World.Replicas["i-2"]->mostInASecond(Since) <= MaxColdInASecond);
-  BOOST_TEST(World.Replicas["i-2"]->mostInASecond(Since) > 0);
+  BOOST_TEST(World.Replicas["i-2"]->maxArrivalsPerSecond(Since) <=
+             MaxColdInASecond);
+  BOOST_TEST(World.Replicas["i-2"]->maxArrivalsPerSecond(Since) > 0);
 }
 
 BOOST_AUTO_TEST_CASE(get_no_requests_from_a_gateway_that_has_just_started) {
@@ -144,7 +146,7 @@
 
 BOOST_AUTO_TEST_CASE(without_a_rate_limit_are_not_throttled) {
   cold_world World(2);
-  json Routing = World.usualRouting();
+  json Routing = World.defaultRouting();
   Routing["services"][0]["cold_requests_per_s"] = 0;
   BOOST_REQUIRE_EQUAL(World.putRouting(Routing).Status, 200);
   World.setCold("i-1");
--- a/tests/world.cpp
+++ b/tests/world.cpp
@@ -32,7 +32,7 @@
 
 reserved_address::~reserved_address() { close(Socket); }
 
-std::string caller_answer::header(const std::string &Name) const {
+std::string client_response::header(const std::string &Name) const {
   auto It = Headers.find(Name);
   return It == Headers.end() ? "" : It->second;
 }
@@ -45,20 +45,21 @@
       .dump();
 }
 
-caller_request booking(const std::string &Key, int Milliseconds) {
+client_request booking(const std::string &Key, int Milliseconds) {
   return {.Path = "/ledger/assignments",
           .Body = "{\"note\":\"first=" + std::to_string(Milliseconds) + "\"}",
           .Headers = {"Idempotency-Key: " + Key}};
 }
 
-json modelWith(const std::string &State1, const std::string &State2) {
+json modelWithVersionStates(const std::string &State1,
+                            const std::string &State2) {
   return {
       {"versions",
        {{"1", {{"state", State1}, {"input_price", 1}, {"output_price", 2}}},
         {"2", {{"state", State2}, {"input_price", 1}, {"output_price", 2}}}}}};
 }
 
-uint64_t runsOf(const json &Counts, const std::string &Key) {
+uint64_t bookingRuns(const json &Counts, const std::string &Key) {
   return Counts["runs"].value("service " + Key, uint64_t(0));
 }
 
@@ -171,9 +172,9 @@
       "time has passed", [&] { return steadySeconds() >= End; }, Seconds + 10);
 }
 
-std::shared_ptr<caller_answer> world::begin(const std::string &Address,
-                                            caller_request Request) {
-  auto Answer = std::make_shared<caller_answer>();
+std::shared_ptr<client_response> world::begin(const std::string &Address,
+                                              client_request Request) {
+  auto Answer = std::make_shared<client_response>();
   fetch_options Fetch;
   Fetch.Method = Request.Method;
   Fetch.Url = "http://" + Address + Request.Path;
@@ -207,7 +208,8 @@
   return Answer;
 }
 
-caller_answer world::call(const std::string &Address, caller_request Request) {
+client_response world::call(const std::string &Address,
+                            client_request Request) {
   double Seconds = Request.Seconds;
   auto Answer = begin(Address, std::move(Request));
   until(
@@ -215,8 +217,8 @@
   return *Answer;
 }
 
-caller_answer world::ask(const std::string &Address, caller_request Request) {
-  caller_answer Answer;
+client_response world::ask(const std::string &Address, client_request Request) {
+  client_response Answer;
   double End = steadySeconds() + Request.Seconds;
   do {
     Answer = call(Address, Request);
@@ -233,7 +235,7 @@
   double End = steadySeconds() + Seconds;
   for (size_t Turn = 0; steadySeconds() < End; ++Turn) {
     control_node &Node = *Control[Turn % Control.size()];
-    caller_answer Answer =
+    client_response Answer =
         call(Node.Operators.text(),
              {.Method = Method,
               .Path = Path,
@@ -308,11 +310,11 @@
                                          Folder.path(), controlSettings(*Node));
     Node->Process->start();
   }
-  untilAllVote();
+  untilAllAreVoters();
 }
 
 json world::statusOf(const control_node &Node) {
-  caller_answer Answer =
+  client_response Answer =
       call(Node.Operators.text(),
            {.Method = "GET", .Path = "/v1/status", .Key = "", .Seconds = 2});
   json Status = json::parse(Answer.Body, nullptr, false);
@@ -321,7 +323,7 @@
 
 // The leader's member list alone is not enough: a VM that lost its disk is
 // listed as a voter until it requests to join with its new disk.
-bool world::allVote() {
+bool world::allAreVoters() {
   for (auto &Node : Control)
     if (!statusOf(*Node).value("member", false))
       return false;
@@ -333,8 +335,8 @@
                      [](const json &M) { return M["voter"] == true; });
 }
 
-void world::untilAllVote() {
-  until("all control VMs are voters", [&] { return allVote(); });
+void world::untilAllAreVoters() {
+  until("all control VMs are voters", [&] { return allAreVoters(); });
 }
 
 entry_node &world::startEntry(const std::string &Name,
@@ -380,7 +382,7 @@
   return *Node;
 }
 
-json world::usualConfig() {
+json world::defaultConfig() {
   json Versions = {{"1", {{"input_price", 1}, {"output_price", 2}}},
                    {"2", {{"input_price", 1}, {"output_price", 2}}}};
   json Dispatch = {
@@ -414,13 +416,13 @@
               {"slots", 64}}}}}};
 }
 
-void world::startUsual(size_t ControlCount) {
+void world::startDefaultSystem(size_t ControlCount) {
   startControl(ControlCount);
   for (const char *Name : {"a", "b", "led"})
     startSidecar(Name);
   for (const char *Name : {"entry-1", "entry-2"})
     startEntry(Name);
-  json Applied = apply(usualConfig(), 30);
+  json Applied = apply(defaultConfig(), 30);
   BOOST_REQUIRE_MESSAGE(Applied.value("in_force", false), Applied.dump());
   for (auto &[Name, Node] : Entries)
     untilReady(Node->Health);
@@ -428,7 +430,7 @@
     untilReady(Node->Health);
   // An entry serves requests only once its upstreams have reported their state.
   for (auto &[Name, Node] : Entries) {
-    caller_answer Answer =
+    client_response Answer =
         ask(Node->Address.text(), {.Body = chatBody("plan", "warm up")});
     BOOST_REQUIRE_MESSAGE(Answer.Status == 200, Answer.Body);
     Answer =
@@ -476,8 +478,8 @@
              .Status == 200;
 }
 
-json world::steerEngine(const stand_in &Engine, const json &Body) {
-  caller_answer Answer =
+json world::configureEngine(const stand_in &Engine, const json &Body) {
+  client_response Answer =
       call(Engine.address(), {.Method = "PUT",
                               .Path = "/stand-in",
                               .Body = Body.is_null() ? "{}" : Body.dump()});
@@ -485,7 +487,7 @@
 }
 
 json world::engineCounts(const sidecar_node &Sidecar) {
-  return steerEngine(*Sidecar.Engine, {});
+  return configureEngine(*Sidecar.Engine, {});
 }
 
 control_node &world::leader() {
--- a/tests/world.h
+++ b/tests/world.h
@@ -37,7 +37,7 @@
 };
 
 /// The response that a client has received.
-struct caller_answer {
+struct client_response {
   bool Done = false; ///< The response has ended or the transfer has failed.
   int Status = 0;    ///< HTTP status; 0 if no response was received.
   /// Transport error; empty if the response is complete. Also set if a stream
@@ -52,7 +52,7 @@
 };
 
 /// A client's request.
-struct caller_request {
+struct client_request {
   std::string Method = "POST";
   std::string Path = "/v1/chat/completions";
   std::string Body;
@@ -74,15 +74,16 @@
 
 /// Returns a request to the service "ledger" with \p Key as its
 /// Idempotency-Key; the service responds after \p Milliseconds.
-caller_request booking(const std::string &Key, int Milliseconds = 0);
+client_request booking(const std::string &Key, int Milliseconds = 0);
 
 /// Returns a document of the model olive-llm whose versions 1 and 2 have the
 /// given states.
-json modelWith(const std::string &State1, const std::string &State2);
+json modelWithVersionStates(const std::string &State1,
+                            const std::string &State2);
 
 /// Returns how often the simulated service ran the request with the
 /// Idempotency-Key \p Key, according to its counters \p Counts.
-uint64_t runsOf(const json &Counts, const std::string &Key);
+uint64_t bookingRuns(const json &Counts, const std::string &Key);
 
 /// An olivevalved process with its settings file and log in a folder.
 class daemon_process {
@@ -167,9 +168,9 @@
   /// Starts and configures the default system and waits until it serves
   /// requests: control VMs, two entries, the sidecars "a" and "b" (olive-llm@1
   /// and @2) and the sidecar "led" (service "ledger").
-  void startUsual(size_t ControlCount = 3);
+  void startDefaultSystem(size_t ControlCount = 3);
   /// Returns the configuration of the default system.
-  json usualConfig();
+  json defaultConfig();
   /// Sends the objects {"models": {...}, ...} to control as one change and
   /// returns the response.
   json apply(const json &Config, double Seconds = 20);
@@ -184,13 +185,13 @@
   void run(double Seconds);
   /// Sends a request and returns at once; the response is filled in while the
   /// event loop runs.
-  std::shared_ptr<caller_answer> begin(const std::string &Address,
-                                       caller_request Request);
+  std::shared_ptr<client_response> begin(const std::string &Address,
+                                         client_request Request);
   /// Sends a request and waits for the response.
-  caller_answer call(const std::string &Address, caller_request Request);
+  client_response call(const std::string &Address, client_request Request);
   /// Like call(), but sends the request again while the response says that it
   /// was not run, for at most Request.Seconds.
-  caller_answer ask(const std::string &Address, caller_request Request);
+  client_response ask(const std::string &Address, client_request Request);
   /// Sends an operator's request to the control VMs in turn until one handles
   /// it. Returns the response with its "http_status" added, or null if none
   /// handles it within \p Seconds.
@@ -202,7 +203,7 @@
   json engineCounts(const sidecar_node &Sidecar);
   /// Changes the behaviour of a simulated engine, see stand_in::control(), and
   /// returns its counters.
-  json steerEngine(const stand_in &Engine, const json &Body);
+  json configureEngine(const stand_in &Engine, const json &Body);
   bool ready(const reserved_address &Health);
   void untilReady(const reserved_address &Health);
   /// Waits until a control VM leads and returns it.
@@ -211,10 +212,10 @@
   /// respond.
   json statusOf(const control_node &Node);
   /// Returns whether all control VMs are voters.
-  bool allVote();
+  bool allAreVoters();
   /// Waits until all control VMs are voters. Before that, the loss of one VM
   /// may cost the quorum.
-  void untilAllVote();
+  void untilAllAreVoters();
   /// Sets a fault on all paths to a control VM and from it to the others.
   void isolateControl(control_node &Node, proxy_fault Fault);
   /// Sets a fault on the paths of the node \p Name to all control VMs.
