--- a/bench/news.cpp
+++ b/bench/estimate_updates.cpp
@@ -1,4 +1,4 @@
-//===- news.cpp - Size of estimate updates to a node ----------------------===//
+//===- estimate_updates.cpp - Size of estimate updates to a node ----------===//
 
 #include "bench/bench.h"
 #include "ledger/ratings.h"
--- a/bench/warming.cpp
+++ b/bench/warmup.cpp
@@ -1,6 +1,6 @@
-//===- warming.cpp - Requests of many gateways to a cold upstream ---------===//
+//===- warmup.cpp - Requests of many gateways to a cold upstream ----------===//
 
-#include "policy/warming.h"
+#include "policy/warmup.h"
 #include "bench/bench.h"
 #include <algorithm>
 #include <deque>
--- a/catalog/node_copy.cpp
+++ b/catalog/config_replica.cpp
@@ -1,7 +1,6 @@
-//===- config_replica.cpp - Configuration replica under a lease
-//----------------===//
+//===- config_replica.cpp - Configuration replica under a lease -----------===//
 
-#include "catalog/node_copy.h"
+#include "catalog/config_replica.h"
 #include <algorithm>
 
 namespace olivevalve {
--- a/catalog/node_copy.h
+++ b/catalog/config_replica.h
@@ -1,5 +1,4 @@
-//===- config_replica.h - Configuration replica under a lease --------*- C++
-//-*-===//
+//===- config_replica.h - Configuration replica under a lease ---*- C++ -*-===//
 //
 // The replica of the catalog in an entry or a sidecar, which never goes back to
 // an older index, and the lease that limits how long the node may act on it.
@@ -7,8 +6,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OLIVEVALVE_CATALOG_NODE_COPY_H
-#define OLIVEVALVE_CATALOG_NODE_COPY_H
+#ifndef OLIVEVALVE_CATALOG_CONFIG_REPLICA_H
+#define OLIVEVALVE_CATALOG_CONFIG_REPLICA_H
 
 #include "catalog/catalog.h"
 
@@ -43,4 +42,4 @@
 
 } // namespace olivevalve
 
-#endif // OLIVEVALVE_CATALOG_NODE_COPY_H
+#endif // OLIVEVALVE_CATALOG_CONFIG_REPLICA_H
--- a/catalog/routing_copy.cpp
+++ b/catalog/routing_replica.cpp
@@ -1,7 +1,6 @@
-//===- routing_replica.cpp - A gateway's replica of the routing
-//--------------===//
+//===- routing_replica.cpp - A gateway's replica of the routing -----------===//
 
-#include "catalog/routing_copy.h"
+#include "catalog/routing_replica.h"
 
 namespace olivevalve {
 
--- a/catalog/routing_copy.h
+++ b/catalog/routing_replica.h
@@ -1,5 +1,4 @@
-//===- routing_replica.h - A gateway's replica of the routing ------*- C++
-//-*-===//
+//===- routing_replica.h - A gateway's replica of the routing ---*- C++ -*-===//
 //
 // Receives a new version of the routing as a sequence of pieces, which hold the
 // difference from the version in force or the complete routing. The new version
@@ -8,8 +7,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OLIVEVALVE_CATALOG_ROUTING_COPY_H
-#define OLIVEVALVE_CATALOG_ROUTING_COPY_H
+#ifndef OLIVEVALVE_CATALOG_ROUTING_REPLICA_H
+#define OLIVEVALVE_CATALOG_ROUTING_REPLICA_H
 
 #include "catalog/routing_parts.h"
 #include "wire/wire.pb.h"
@@ -80,4 +79,4 @@
 
 } // namespace olivevalve
 
-#endif // OLIVEVALVE_CATALOG_ROUTING_COPY_H
+#endif // OLIVEVALVE_CATALOG_ROUTING_REPLICA_H
--- a/consensus/raft_core.h
+++ b/consensus/raft_core.h
@@ -83,8 +83,8 @@
 /// state, the snapshot and the entries, call synced() once they are on disk,
 /// and send the messages.
 struct raft_output {
-  std::optional<raft_hard_state> HardState;  ///< Unset: unchanged.
-  std::optional<raft_snapshot> Install; ///< Replaces log and state machine.
+  std::optional<raft_hard_state> HardState; ///< Unset: unchanged.
+  std::optional<raft_snapshot> Install;     ///< Replaces log and state machine.
   /// To be appended to the log. Stored entries from the index of the first one
   /// on are replaced.
   std::vector<wire::log_entry> Entries;
--- a/control/control_task.h
+++ b/control/control_task.h
@@ -16,11 +16,11 @@
 #include "control/node_table.h"
 #include "control/operator_api.h"
 #include "control/placer.h"
-#include "control/quarantine_keeper.h"
+#include "control/quarantine_manager.h"
 #include "control/replicated_log.h"
 #include "control/rollout_driver.h"
-#include "control/routing_news.h"
-#include "control/upstream_news.h"
+#include "control/routing_publisher.h"
+#include "control/upstream_list_publisher.h"
 
 namespace olivevalve {
 
--- a/control/gateway_news.cpp
+++ b/control/gateway_notices.cpp
@@ -1,4 +1,4 @@
-//===- gateway_news.cpp - Control's messages to gateways ------------------===//
+//===- gateway_notices.cpp - Control's messages to gateways ---------------===//
 //
 // The part of control_task that serves gateways. It sends small notices, which
 // must not be delayed by large messages, and the pieces of the routing that a
--- a/control/node_table.h
+++ b/control/node_table.h
@@ -9,7 +9,7 @@
 #ifndef OLIVEVALVE_CONTROL_NODE_TABLE_H
 #define OLIVEVALVE_CONTROL_NODE_TABLE_H
 
-#include "catalog/node_copy.h"
+#include "catalog/config_replica.h"
 #include "wire/wire.pb.h"
 #include <functional>
 #include <map>
--- a/control/quarantine_keeper.cpp
+++ b/control/quarantine_manager.cpp
@@ -1,7 +1,6 @@
-//===- quarantine_manager.cpp - Decides which requests to quarantine
-//-------===//
+//===- quarantine_manager.cpp - Decides which requests to quarantine ------===//
 
-#include "control/quarantine_keeper.h"
+#include "control/quarantine_manager.h"
 #include <algorithm>
 
 namespace olivevalve {
--- a/control/quarantine_keeper.h
+++ b/control/quarantine_manager.h
@@ -1,4 +1,4 @@
-//===- quarantine_manager.h - Decides which requests to quarantine -*- C++ -*-//
+//===- quarantine_manager.h - Requests to quarantine ------------*- C++ -*-===//
 //
 // Combines the crash reports of all processes and proposes which requests are
 // added to the replicated quarantine and which are released from it. A new
@@ -6,8 +6,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OLIVEVALVE_CONTROL_QUARANTINE_KEEPER_H
-#define OLIVEVALVE_CONTROL_QUARANTINE_KEEPER_H
+#ifndef OLIVEVALVE_CONTROL_QUARANTINE_MANAGER_H
+#define OLIVEVALVE_CONTROL_QUARANTINE_MANAGER_H
 
 #include "ledger/quarantine.h"
 #include "policy/crash_evidence.h"
@@ -43,4 +43,4 @@
 
 } // namespace olivevalve
 
-#endif // OLIVEVALVE_CONTROL_QUARANTINE_KEEPER_H
+#endif // OLIVEVALVE_CONTROL_QUARANTINE_MANAGER_H
--- a/control/routing_news.cpp
+++ b/control/routing_publisher.cpp
@@ -1,7 +1,6 @@
-//===- routing_publisher.cpp - Sends routing changes in pieces
-//-----------------===//
+//===- routing_publisher.cpp - Sends routing changes in pieces ------------===//
 
-#include "control/routing_news.h"
+#include "control/routing_publisher.h"
 #include <algorithm>
 
 namespace olivevalve {
--- a/control/routing_news.h
+++ b/control/routing_publisher.h
@@ -1,5 +1,4 @@
-//===- routing_publisher.h - Sends routing changes in pieces ---------*- C++
-//-*-===//
+//===- routing_publisher.h - Sends routing changes in pieces ----*- C++ -*-===//
 //
 // Holds the routing in encoded parts, with the names of the parts that each of
 // the latest changes touched. What a gateway lacks is cut into small pieces,
@@ -7,8 +6,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OLIVEVALVE_CONTROL_ROUTING_NEWS_H
-#define OLIVEVALVE_CONTROL_ROUTING_NEWS_H
+#ifndef OLIVEVALVE_CONTROL_ROUTING_PUBLISHER_H
+#define OLIVEVALVE_CONTROL_ROUTING_PUBLISHER_H
 
 #include "catalog/routing_parts.h"
 #include "wire/wire.pb.h"
@@ -66,4 +65,4 @@
 
 } // namespace olivevalve
 
-#endif // OLIVEVALVE_CONTROL_ROUTING_NEWS_H
+#endif // OLIVEVALVE_CONTROL_ROUTING_PUBLISHER_H
--- a/control/upstream_news.cpp
+++ b/control/upstream_list_publisher.cpp
@@ -1,6 +1,6 @@
-//===- upstream_news.cpp - The list of upstreams for gateways -------------===//
+//===- upstream_list_publisher.cpp - The list of upstreams for gateways ---===//
 
-#include "control/upstream_news.h"
+#include "control/upstream_list_publisher.h"
 #include "base/clock.h"
 #include "base/log.h"
 #include "platform/upstream_list_wire.h"
--- a/control/upstream_news.h
+++ b/control/upstream_list_publisher.h
@@ -1,4 +1,4 @@
-//===- upstream_news.h - The list of upstreams for gateways -----*- C++ -*-===//
+//===- upstream_list_publisher.h - Upstream list for gateways ---*- C++ -*-===//
 //
 // The leader polls the platform's list of upstreams and passes it on to the
 // gateways, so that the platform has one client rather than one per gateway.
@@ -6,8 +6,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OLIVEVALVE_CONTROL_UPSTREAM_NEWS_H
-#define OLIVEVALVE_CONTROL_UPSTREAM_NEWS_H
+#ifndef OLIVEVALVE_CONTROL_UPSTREAM_LIST_PUBLISHER_H
+#define OLIVEVALVE_CONTROL_UPSTREAM_LIST_PUBLISHER_H
 
 #include "platform/list_client.h"
 #include "wire/wire.pb.h"
@@ -89,4 +89,4 @@
 
 } // namespace olivevalve
 
-#endif // OLIVEVALVE_CONTROL_UPSTREAM_NEWS_H
+#endif // OLIVEVALVE_CONTROL_UPSTREAM_LIST_PUBLISHER_H
--- a/daemon/node.h
+++ b/daemon/node.h
@@ -12,7 +12,7 @@
 #define OLIVEVALVE_DAEMON_NODE_H
 
 #include "daemon/settings.h"
-#include "net/gatekeeper.h"
+#include "net/link_authenticator.h"
 
 namespace olivevalve {
 
--- a/daemon/settings.cpp
+++ b/daemon/settings.cpp
@@ -161,7 +161,8 @@
   Reader.text("data_folder", Control.Log.Folder, presence::Required);
   Addresses.read(Reader, "upstream_list", Control.UpstreamListAddress,
                  presence::Optional);
-  Reader.number("replace_after_seconds", Control.Log.ReplaceAfterSeconds, {1, 86400});
+  Reader.number("replace_after_seconds", Control.Log.ReplaceAfterSeconds,
+                {1, 86400});
   Reader.integer("snapshot_bytes", SnapshotBytes, {1024, 1 << 30});
   Reader.integer("loads_at_once", MaxConcurrentLoads, {1, 1000});
   Control.Log.Address = Control.Address;
--- a/entry/request_choice.cpp
+++ b/entry/request_choice.cpp
@@ -84,11 +84,11 @@
 
 std::optional<chosen_arm> request_task::choose(bool MayCascade) {
   choice_input Question{.Template = Facts.Template,
-                           .Account = Facts.Account,
-                           .QualityTarget = Facts.QualityTarget,
-                           .Policy = Facts.Policy,
-                           .Candidates = candidates(),
-                           .MayCascade = MayCascade};
+                        .Account = Facts.Account,
+                        .QualityTarget = Facts.QualityTarget,
+                        .Policy = Facts.Policy,
+                        .Candidates = candidates(),
+                        .MayCascade = MayCascade};
   return chooseArm(Question, Context.Estimates, Context.Prepared,
                    Context.Random);
 }
--- a/entry/request_task.h
+++ b/entry/request_task.h
@@ -18,7 +18,7 @@
 #include "entry/rater.h"
 #include "entry/sessions.h"
 #include "entry/upstream_pool.h"
-#include "lease/outbox.h"
+#include "lease/bill_outbox.h"
 #include "net/http_server.h"
 #include "policy/limits.h"
 #include "policy/version_choice.h"
--- a/gateway/spare_answer.cpp
+++ b/gateway/fallback_response.cpp
@@ -1,6 +1,6 @@
-//===- spare_answer.cpp - Response kept during a model switch -------------===//
+//===- fallback_response.cpp - Response kept during a model switch --------===//
 
-#include "gateway/spare_answer.h"
+#include "gateway/fallback_response.h"
 #include <utility>
 
 namespace olivevalve {
--- a/gateway/spare_answer.h
+++ b/gateway/fallback_response.h
@@ -1,4 +1,4 @@
-//===- spare_answer.h - Response kept during a model switch -----*- C++ -*-===//
+//===- fallback_response.h - Response kept for a switch ---------*- C++ -*-===//
 //
 // When a model has begun to respond and the caller has received nothing yet,
 // the gateway may switch the request to a larger model. The response of the
@@ -7,8 +7,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OLIVEVALVE_GATEWAY_SPARE_ANSWER_H
-#define OLIVEVALVE_GATEWAY_SPARE_ANSWER_H
+#ifndef OLIVEVALVE_GATEWAY_FALLBACK_RESPONSE_H
+#define OLIVEVALVE_GATEWAY_FALLBACK_RESPONSE_H
 
 #include "base/loop.h"
 #include "gateway/event_splitter.h"
@@ -75,4 +75,4 @@
 
 } // namespace olivevalve
 
-#endif // OLIVEVALVE_GATEWAY_SPARE_ANSWER_H
+#endif // OLIVEVALVE_GATEWAY_FALLBACK_RESPONSE_H
--- a/gateway/forwarding.cpp
+++ b/gateway/forwarding.cpp
@@ -267,8 +267,8 @@
 }
 
 double forwarding::refusalChanceAt(double Seconds) const {
-  return refusalProbability(Seconds, State.ServicePaces[Service].shortestTargetSeconds(),
-                       priority());
+  return refusalProbability(
+      Seconds, State.ServicePaces[Service].shortestTargetSeconds(), priority());
 }
 
 // Decided once, before anything is sent: a request that has begun is not
@@ -401,7 +401,8 @@
 // has; that is no crash.
 void forwarding::recordInterruption() {
   if (!Upstream->leaving())
-    State.Crashes->recordInterruptedRequest(watchedUpstream(*Upstream), Identity);
+    State.Crashes->recordInterruptedRequest(watchedUpstream(*Upstream),
+                                            Identity);
 }
 
 void forwarding::leaveUpstream() {
--- a/gateway/forwarding.h
+++ b/gateway/forwarding.h
@@ -12,9 +12,9 @@
 
 #include "base/error.h"
 #include "gateway/event_splitter.h"
+#include "gateway/fallback_response.h"
 #include "gateway/gateway_state.h"
 #include "gateway/selection.h"
-#include "gateway/spare_answer.h"
 #include "gateway/upstream_connection.h"
 #include "net/caller_connection.h"
 #include "policy/model_choice.h"
--- a/gateway/model_switch.cpp
+++ b/gateway/forwarding_model_switch.cpp
@@ -1,4 +1,4 @@
-//===- model_switch.cpp - Selects the model for a request -----------------===//
+//===- forwarding_model_switch.cpp - Selects the model for a request ------===//
 //
 // The part of class forwarding that switches a request to a larger model where
 // that is worth its cost, falls back to the smaller model's response, and
@@ -52,9 +52,9 @@
        .Size = size(),
        .LargestCost = costPerThousandTokens(*Routing, *Route, Service, Largest),
        .LargestSeconds = Estimate.UpstreamSeconds,
-       .OpportunityCostPerSecond =
-           opportunityCostPerSecond(State.UtilityRates[Service].perSecond(),
-                         Estimate.BacklogSeconds, LargestWork.residualSeconds()),
+       .OpportunityCostPerSecond = opportunityCostPerSecond(
+           State.UtilityRates[Service].perSecond(), Estimate.BacklogSeconds,
+           LargestWork.residualSeconds()),
        .RefusalProbability = refusalChanceAt(Estimate.WaitSeconds),
        .InTime = Now + Estimate.FirstTokenSeconds <
                  ArrivedAt + Route->TargetSeconds});
--- a/gateway/answering.cpp
+++ b/gateway/forwarding_response.cpp
@@ -1,4 +1,4 @@
-//===- answering.cpp - Response path of a forwarded request ---------------===//
+//===- forwarding_response.cpp - Response path of a forwarded request -----===//
 //
 // The part of class forwarding that receives responses from upstreams and sends
 // them to the caller.
--- a/gateway/gateway_state.h
+++ b/gateway/gateway_state.h
@@ -11,10 +11,10 @@
 #include "gateway/upstream_table.h"
 #include "policy/admission.h"
 #include "policy/model_choice.h"
-#include "policy/prompt_memory.h"
-#include "policy/prompt_pace.h"
+#include "policy/prefill_estimator.h"
+#include "policy/prefix_cache_model.h"
 #include "policy/retry_share.h"
-#include "policy/warming.h"
+#include "policy/warmup.h"
 #include "quarantine/crash_watch.h"
 #include <map>
 #include <memory>
--- a/gateway/gateway_task.h
+++ b/gateway/gateway_task.h
@@ -9,7 +9,7 @@
 #define OLIVEVALVE_GATEWAY_GATEWAY_TASK_H
 
 #include "gateway/forwarding.h"
-#include "gateway/upstream_copy.h"
+#include "gateway/upstream_list_copy.h"
 #include "lease/control_watch.h"
 #include "platform/list_client.h"
 #include <unordered_map>
--- a/gateway/peer_work.h
+++ b/gateway/peer_work.h
@@ -12,7 +12,7 @@
 
 #include "gateway/upstream_table.h"
 #include "net/datagram.h"
-#include "policy/prompt_memory.h"
+#include "policy/prefix_cache_model.h"
 #include "wire/wire.pb.h"
 #include <functional>
 #include <set>
--- a/gateway/selection.cpp
+++ b/gateway/selection.cpp
@@ -22,7 +22,8 @@
   uint64_t Sum = 0;
   for (const platform::prefix_block &Part : Request.PrefixBlocks)
     Sum += Part.Tokens;
-  if (Sum > Request.PromptTokens || Request.PrefixBlocks.size() > MaxPromptBlocks)
+  if (Sum > Request.PromptTokens ||
+      Request.PrefixBlocks.size() > MaxPromptBlocks)
     return Blocks;
   uint64_t Key = checksum(Model);
   for (const platform::prefix_block &Part : Request.PrefixBlocks) {
@@ -93,8 +94,9 @@
 answer_counts
 totalAnswers(const std::vector<std::shared_ptr<upstream>> &Upstreams,
              double Now) {
-  bool Any = std::any_of(Upstreams.begin(), Upstreams.end(),
-                         [](const auto &U) { return U->Answers.hasEnoughFailures(); });
+  bool Any = std::any_of(Upstreams.begin(), Upstreams.end(), [](const auto &U) {
+    return U->Answers.hasEnoughFailures();
+  });
   answer_counts Sum;
   if (!Any)
     return Sum;
@@ -114,7 +116,7 @@
     return false;
   answer_counts Own = Upstream.Answers.at(Now);
   return hasExcessFailures(Own, {.Answers = All.Answers - Own.Answers,
-                         .Failures = All.Failures - Own.Failures});
+                                 .Failures = All.Failures - Own.Failures});
 }
 
 std::vector<upstream_view>
@@ -132,7 +134,7 @@
         {.Id = Each->Listed.Id,
          .Load = Each->load(Now, Others.InFlight),
          .ObservedLoad = ReceivesAll ? Each->load(Now, Others.InFlight)
-                             : double(Each->InFlight + Others.InFlight),
+                                     : double(Each->InFlight + Others.InFlight),
          .LoadKnown = ReceivesAll || Each->hasFreshLoad(Now),
          .Slots = double(Each->Listed.Slots),
          .SameHall = Each->Listed.DataHall == State.DataHall,
@@ -152,8 +154,8 @@
   estimateUnobservedLoad(Views);
   selection Selected;
   if (Request.Facts.Model) {
-    Selected.WaitSeconds =
-        expectedSlotWait(Views, State.ServicePaces[Request.Service].meanSlotSeconds());
+    Selected.WaitSeconds = expectedSlotWait(
+        Views, State.ServicePaces[Request.Service].meanSlotSeconds());
     Selected.BacklogSeconds = meanPrefillSeconds(Views);
   }
   for (size_t I = 0; I < Views.size(); ++I)
@@ -229,7 +231,8 @@
   uint32_t SharedTokens = 0;
   for (size_t I = 0; I + 1 < Blocks.size(); ++I)
     SharedTokens += Blocks[I].Tokens;
-  uint64_t SharedPrefixKey = Blocks.size() > 1 ? Blocks[Blocks.size() - 2].Key : 0;
+  uint64_t SharedPrefixKey =
+      Blocks.size() > 1 ? Blocks[Blocks.size() - 2].Key : 0;
   return {.Prompt = {.PrefillSeconds = Seconds,
                      .SharedPrefillSeconds = SecondsFor(SharedTokens),
                      .SharedPrefixKey = SharedPrefixKey},
@@ -249,8 +252,8 @@
 }
 
 uint32_t expectedOutputTokens(const platform::model_request &Model) {
-  return std::max(
-      1U, Model.OutputTokensHint.value_or(Model.MaxOutputTokens / 2));
+  return std::max(1U,
+                  Model.OutputTokensHint.value_or(Model.MaxOutputTokens / 2));
 }
 
 request_estimate estimateRequest(gateway_state &State,
@@ -263,8 +266,8 @@
                     ? prefillSeconds(State, Routing, Request, Work, *Upstream)
                     : Work.Prompt.PrefillSeconds;
   request_estimate Estimate{.BacklogSeconds = Selected.BacklogSeconds,
-                            .UpstreamSeconds =
-                                Read + Work.TotalSeconds - Work.Prompt.PrefillSeconds,
+                            .UpstreamSeconds = Read + Work.TotalSeconds -
+                                               Work.Prompt.PrefillSeconds,
                             .FirstTokenSeconds = UnavailableSeconds,
                             .WaitSeconds = Selected.WaitSeconds};
   if (Upstream)
--- a/gateway/upstream_copy.cpp
+++ b/gateway/upstream_list_copy.cpp
@@ -1,6 +1,6 @@
-//===- upstream_copy.cpp - A gateway's copy of the upstream list ----------===//
+//===- upstream_list_copy.cpp - A gateway's copy of the upstream list -----===//
 
-#include "gateway/upstream_copy.h"
+#include "gateway/upstream_list_copy.h"
 #include "platform/upstream_list_wire.h"
 
 namespace olivevalve {
--- a/gateway/upstream_copy.h
+++ b/gateway/upstream_list_copy.h
@@ -1,12 +1,12 @@
-//===- upstream_copy.h - A gateway's copy of the upstream list --*- C++ -*-===//
+//===- upstream_list_copy.h - Copy of the upstream list ---------*- C++ -*-===//
 //
 // The platform's list of upstreams as this gateway last received it from
 // control or from the platform itself. Does no I/O.
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OLIVEVALVE_GATEWAY_UPSTREAM_COPY_H
-#define OLIVEVALVE_GATEWAY_UPSTREAM_COPY_H
+#ifndef OLIVEVALVE_GATEWAY_UPSTREAM_LIST_COPY_H
+#define OLIVEVALVE_GATEWAY_UPSTREAM_LIST_COPY_H
 
 #include "platform/upstream_list.h"
 #include "wire/wire.pb.h"
@@ -34,4 +34,4 @@
 
 } // namespace olivevalve
 
-#endif // OLIVEVALVE_GATEWAY_UPSTREAM_COPY_H
+#endif // OLIVEVALVE_GATEWAY_UPSTREAM_LIST_COPY_H
--- a/gateway/upstream_table.h
+++ b/gateway/upstream_table.h
@@ -12,7 +12,7 @@
 #include "platform/headers.h"
 #include "platform/upstream_list.h"
 #include "policy/answer_tally.h"
-#include "policy/warming.h"
+#include "policy/warmup.h"
 #include <map>
 #include <memory>
 #include <set>
--- a/lease/outbox.cpp
+++ b/lease/bill_outbox.cpp
@@ -1,6 +1,6 @@
-//===- outbox.cpp - Delivers bills to control -----------------------------===//
+//===- bill_outbox.cpp - Delivers bills to control ------------------------===//
 
-#include "lease/outbox.h"
+#include "lease/bill_outbox.h"
 #include "base/clock.h"
 
 namespace olivevalve {
--- a/lease/outbox.h
+++ b/lease/bill_outbox.h
@@ -1,4 +1,4 @@
-//===- outbox.h - Delivers bills to control ---------------------*- C++ -*-===//
+//===- bill_outbox.h - Delivers bills to control ----------------*- C++ -*-===//
 //
 // Collects bills and sends them to control in batches. A bill is kept and
 // resent until control confirms that it is committed. The entry and the sidecar
@@ -7,8 +7,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OLIVEVALVE_LEASE_OUTBOX_H
-#define OLIVEVALVE_LEASE_OUTBOX_H
+#ifndef OLIVEVALVE_LEASE_BILL_OUTBOX_H
+#define OLIVEVALVE_LEASE_BILL_OUTBOX_H
 
 #include "lease/control_client.h"
 #include <deque>
@@ -46,4 +46,4 @@
 
 } // namespace olivevalve
 
-#endif // OLIVEVALVE_LEASE_OUTBOX_H
+#endif // OLIVEVALVE_LEASE_BILL_OUTBOX_H
--- a/lease/control_client.h
+++ b/lease/control_client.h
@@ -10,7 +10,7 @@
 #ifndef OLIVEVALVE_LEASE_CONTROL_CLIENT_H
 #define OLIVEVALVE_LEASE_CONTROL_CLIENT_H
 
-#include "catalog/node_copy.h"
+#include "catalog/config_replica.h"
 #include "lease/evacuated_halls.h"
 #include "net/link.h"
 #include <functional>
--- a/lease/routing_fetch.h
+++ b/lease/routing_fetch.h
@@ -10,7 +10,7 @@
 #ifndef OLIVEVALVE_LEASE_ROUTING_FETCH_H
 #define OLIVEVALVE_LEASE_ROUTING_FETCH_H
 
-#include "catalog/routing_copy.h"
+#include "catalog/routing_replica.h"
 #include <optional>
 #include <random>
 #include <string>
--- a/ledger/published.cpp
+++ b/ledger/published_estimates.cpp
@@ -1,6 +1,6 @@
-//===- published.cpp - Incremental publication of estimates ---------------===//
+//===- published_estimates.cpp - Incremental publication of estimates -----===//
 
-#include "ledger/published.h"
+#include "ledger/published_estimates.h"
 #include <cmath>
 
 namespace olivevalve {
--- a/ledger/published.h
+++ b/ledger/published_estimates.h
@@ -1,4 +1,4 @@
-//===- published.h - Incremental publication of estimates -------*- C++ -*-===//
+//===- published_estimates.h - Published estimates --------------*- C++ -*-===//
 //
 // Keeps for each cell of the estimates the sums that were last published to
 // nodes and the rating count at which that happened. A cell is published again
@@ -9,8 +9,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OLIVEVALVE_LEDGER_PUBLISHED_H
-#define OLIVEVALVE_LEDGER_PUBLISHED_H
+#ifndef OLIVEVALVE_LEDGER_PUBLISHED_ESTIMATES_H
+#define OLIVEVALVE_LEDGER_PUBLISHED_ESTIMATES_H
 
 #include "policy/estimate.h"
 #include "wire/wire.pb.h"
@@ -55,4 +55,4 @@
 
 } // namespace olivevalve
 
-#endif // OLIVEVALVE_LEDGER_PUBLISHED_H
+#endif // OLIVEVALVE_LEDGER_PUBLISHED_ESTIMATES_H
--- a/ledger/ratings.h
+++ b/ledger/ratings.h
@@ -10,7 +10,7 @@
 #define OLIVEVALVE_LEDGER_RATINGS_H
 
 #include "catalog/catalog.h"
-#include "ledger/published.h"
+#include "ledger/published_estimates.h"
 #include "policy/guard.h"
 #include "wire/wire.pb.h"
 #include <map>
--- a/ledger/routing_book.cpp
+++ b/ledger/routing_store.cpp
@@ -1,7 +1,6 @@
-//===- routing_store.cpp - The replicated routing document
-//-----------------===//
+//===- routing_store.cpp - The replicated routing document ----------------===//
 
-#include "ledger/routing_book.h"
+#include "ledger/routing_store.h"
 #include "base/digest.h"
 #include "base/error.h"
 #include "ledger/text_patch.h"
--- a/ledger/routing_book.h
+++ b/ledger/routing_store.h
@@ -1,5 +1,4 @@
-//===- routing_store.h - The replicated routing document ---------*- C++
-//-*-===//
+//===- routing_store.h - The replicated routing document --------*- C++ -*-===//
 //
 // Holds the routing document with the highest version, as the operator sent it.
 // In control's log a new document may be stored as a patch of the previous one.
@@ -7,8 +6,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OLIVEVALVE_LEDGER_ROUTING_BOOK_H
-#define OLIVEVALVE_LEDGER_ROUTING_BOOK_H
+#ifndef OLIVEVALVE_LEDGER_ROUTING_STORE_H
+#define OLIVEVALVE_LEDGER_ROUTING_STORE_H
 
 #include "absl/status/status.h"
 #include "wire/wire.pb.h"
@@ -47,4 +46,4 @@
 
 } // namespace olivevalve
 
-#endif // OLIVEVALVE_LEDGER_ROUTING_BOOK_H
+#endif // OLIVEVALVE_LEDGER_ROUTING_STORE_H
--- a/ledger/state_machine.h
+++ b/ledger/state_machine.h
@@ -18,7 +18,7 @@
 #include "ledger/quarantine.h"
 #include "ledger/ratings.h"
 #include "ledger/rollouts.h"
-#include "ledger/routing_book.h"
+#include "ledger/routing_store.h"
 #include <deque>
 #include <map>
 
--- a/net/gatekeeper.cpp
+++ b/net/link_authenticator.cpp
@@ -1,6 +1,6 @@
-//===- gatekeeper.cpp - Authentication of link peers ----------------------===//
+//===- link_authenticator.cpp - Authentication of link peers --------------===//
 
-#include "net/gatekeeper.h"
+#include "net/link_authenticator.h"
 #include "base/log.h"
 #include <array>
 #include <vector>
--- a/net/gatekeeper.h
+++ b/net/link_authenticator.h
@@ -1,4 +1,4 @@
-//===- gatekeeper.h - Authentication of link peers --------------*- C++ -*-===//
+//===- link_authenticator.h - Authentication of link peers ------*- C++ -*-===//
 //
 // Authenticates peers of server links for ZeroMQ, by its authentication
 // protocol (ZAP, RFC 27). All processes of one deployment share one CURVE key
@@ -6,8 +6,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OLIVEVALVE_NET_GATEKEEPER_H
-#define OLIVEVALVE_NET_GATEKEEPER_H
+#ifndef OLIVEVALVE_NET_LINK_AUTHENTICATOR_H
+#define OLIVEVALVE_NET_LINK_AUTHENTICATOR_H
 
 #include "net/link.h"
 
@@ -32,4 +32,4 @@
 
 } // namespace olivevalve
 
-#endif // OLIVEVALVE_NET_GATEKEEPER_H
+#endif // OLIVEVALVE_NET_LINK_AUTHENTICATOR_H
--- a/policy/model_choice.cpp
+++ b/policy/model_choice.cpp
@@ -1,7 +1,7 @@
 //===- model_choice.cpp - Which size of model answers ---------------------===//
 
 #include "policy/model_choice.h"
-#include "policy/prompt_pace.h"
+#include "policy/prefill_estimator.h"
 #include <algorithm>
 #include <cmath>
 
@@ -47,8 +47,8 @@
 }
 
 double utilityOf(const request_size &Size) {
-  double Tokens =
-      double(Size.InputTokens) + double(InputTokensPerOutputToken) * Size.OutputTokens;
+  double Tokens = double(Size.InputTokens) +
+                  double(InputTokensPerOutputToken) * Size.OutputTokens;
   return UtilityPerThousandTokens * std::pow(PriorityFactor, Size.Priority) *
          Tokens / Thousand;
 }
@@ -67,7 +67,7 @@
 // hardly anything, because answers still begin in time. With a long one, the
 // utility that the upstream would have achieved in the meantime is lost.
 double opportunityCostPerSecond(double UtilityPerSecond, double BacklogSeconds,
-                     double ResidualSeconds) {
+                                double ResidualSeconds) {
   double Saturation =
       BacklogSeconds / (SaturatedBacklog * std::max(ResidualSeconds, 1e-3));
   return UtilityPerSecond * std::min(1.0, Saturation * Saturation);
@@ -88,7 +88,8 @@
   // The request occupies one more slot, so another request like it may be
   // refused.
   double RefusalLoss = Input.RefusalProbability * utilityOf(Input.Size);
-  if (Gain <= Cost + Input.LargestSeconds * Input.OpportunityCostPerSecond + RefusalLoss)
+  if (Gain <= Cost + Input.LargestSeconds * Input.OpportunityCostPerSecond +
+                  RefusalLoss)
     return std::nullopt;
   return Input.ModelCount - 1;
 }
--- a/policy/model_choice.h
+++ b/policy/model_choice.h
@@ -18,16 +18,16 @@
 
 /// The size of a request, from which its utility is computed.
 struct request_size {
-  uint32_t InputTokens = 0; ///< Input tokens of the prompt.
+  uint32_t InputTokens = 0;  ///< Input tokens of the prompt.
   uint32_t OutputTokens = 1; ///< Expected output tokens.
-  uint32_t Priority = 0;   ///< 0 is the most urgent.
+  uint32_t Priority = 0;     ///< 0 is the most urgent.
 };
 
 /// The input of largerModel(): what is known once a model has begun to answer.
 /// Models are numbered in the order of the route's list, smallest first.
 struct larger_model_input {
-  size_t ModelCount = 1;     ///< Number of models in the list.
-  size_t ModelIndex = 0;      ///< Index of the model that answers.
+  size_t ModelCount = 1; ///< Number of models in the list.
+  size_t ModelIndex = 0; ///< Index of the model that answers.
   double Confidence = 1; ///< Reported by that model, 0 to 1.
   request_size Size;
   /// Cost of the largest model for 1,000 output tokens, in the operator's unit.
@@ -88,7 +88,7 @@
 /// \p ResidualSeconds is the mean residual time of a request to the largest
 /// model, by which the backlog is judged to be short or long.
 double opportunityCostPerSecond(double UtilityPerSecond, double BacklogSeconds,
-                     double ResidualSeconds);
+                                double ResidualSeconds);
 
 /// The probability that an answer with this confidence is poor, 0 to 1.
 double poorAnswerProbability(double Confidence);
--- a/policy/prompt_pace.cpp
+++ b/policy/prefill_estimator.cpp
@@ -1,7 +1,6 @@
-//===- prefill_estimator.cpp - How long the prefill of prompts takes
-//------------===//
+//===- prefill_estimator.cpp - How long the prefill of prompts takes ------===//
 
-#include "policy/prompt_pace.h"
+#include "policy/prefill_estimator.h"
 #include <algorithm>
 
 namespace olivevalve {
--- a/policy/prompt_pace.h
+++ b/policy/prefill_estimator.h
@@ -1,5 +1,4 @@
-//===- prefill_estimator.h - How long the prefill of prompts takes ----*- C++
-//-*-===//
+//===- prefill_estimator.h - Prefill time of prompts ------------*- C++ -*-===//
 //
 // Prefill speed differs between deployments, and between the models of one by
 // a factor of ten, so it is estimated for each model from the times to first
@@ -7,8 +6,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OLIVEVALVE_POLICY_PROMPT_PACE_H
-#define OLIVEVALVE_POLICY_PROMPT_PACE_H
+#ifndef OLIVEVALVE_POLICY_PREFILL_ESTIMATOR_H
+#define OLIVEVALVE_POLICY_PREFILL_ESTIMATOR_H
 
 #include <cstdint>
 #include <map>
@@ -49,4 +48,4 @@
 
 } // namespace olivevalve
 
-#endif // OLIVEVALVE_POLICY_PROMPT_PACE_H
+#endif // OLIVEVALVE_POLICY_PREFILL_ESTIMATOR_H
--- a/policy/prompt_memory.cpp
+++ b/policy/prefix_cache_model.cpp
@@ -1,7 +1,6 @@
-//===- prefix_cache_model.cpp - What upstreams have cached
-//---------------------===//
+//===- prefix_cache_model.cpp - What upstreams have cached ----------------===//
 
-#include "policy/prompt_memory.h"
+#include "policy/prefix_cache_model.h"
 #include <iterator>
 
 namespace olivevalve {
--- a/policy/prompt_memory.h
+++ b/policy/prefix_cache_model.h
@@ -1,5 +1,4 @@
-//===- prefix_cache_model.h - What upstreams have cached -------------*- C++
-//-*-===//
+//===- prefix_cache_model.h - What upstreams have cached --------*- C++ -*-===//
 //
 // Estimates which prompt prefixes each upstream has in its KV cache, so that a
 // prompt can go where the least of it needs prefill. An upstream does not
@@ -8,8 +7,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OLIVEVALVE_POLICY_PROMPT_MEMORY_H
-#define OLIVEVALVE_POLICY_PROMPT_MEMORY_H
+#ifndef OLIVEVALVE_POLICY_PREFIX_CACHE_MODEL_H
+#define OLIVEVALVE_POLICY_PREFIX_CACHE_MODEL_H
 
 #include <cstdint>
 #include <list>
@@ -65,4 +64,4 @@
 
 } // namespace olivevalve
 
-#endif // OLIVEVALVE_POLICY_PROMPT_MEMORY_H
+#endif // OLIVEVALVE_POLICY_PREFIX_CACHE_MODEL_H
--- a/policy/warming.cpp
+++ b/policy/warmup.cpp
@@ -1,6 +1,6 @@
-//===- warming.cpp - Request rate to a cold upstream ----------------------===//
+//===- warmup.cpp - Request rate to a cold upstream -----------------------===//
 
-#include "policy/warming.h"
+#include "policy/warmup.h"
 #include <algorithm>
 #include <cmath>
 
--- a/policy/warming.h
+++ b/policy/warmup.h
@@ -1,4 +1,4 @@
-//===- warming.h - Request rate to a cold upstream --------------*- C++ -*-===//
+//===- warmup.h - Request rate to a cold upstream ---------------*- C++ -*-===//
 //
 // An upstream that has just started can process only a few requests per second
 // from all gateways together and fails under much more. Because an empty
@@ -13,8 +13,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OLIVEVALVE_POLICY_WARMING_H
-#define OLIVEVALVE_POLICY_WARMING_H
+#ifndef OLIVEVALVE_POLICY_WARMUP_H
+#define OLIVEVALVE_POLICY_WARMUP_H
 
 #include <cstddef>
 
@@ -65,4 +65,4 @@
 
 } // namespace olivevalve
 
-#endif // OLIVEVALVE_POLICY_WARMING_H
+#endif // OLIVEVALVE_POLICY_WARMUP_H
--- a/quarantine/crash_watch.h
+++ b/quarantine/crash_watch.h
@@ -13,7 +13,7 @@
 #define OLIVEVALVE_QUARANTINE_CRASH_WATCH_H
 
 #include "quarantine/crash_reports.h"
-#include "quarantine/end_probe.h"
+#include "quarantine/listener_probe.h"
 #include <list>
 #include <string>
 #include <unordered_map>
--- a/quarantine/end_probe.cpp
+++ b/quarantine/listener_probe.cpp
@@ -1,6 +1,6 @@
-//===- end_probe.cpp - Checks whether a process listens -------------------===//
+//===- listener_probe.cpp - Checks whether a process listens --------------===//
 
-#include "quarantine/end_probe.h"
+#include "quarantine/listener_probe.h"
 #include <utility>
 
 namespace olivevalve {
--- a/quarantine/end_probe.h
+++ b/quarantine/listener_probe.h
@@ -1,7 +1,7 @@
-//===- end_probe.h - Checks whether a process listens -----------*- C++ -*-===//
+//===- listener_probe.h - Checks whether a process listens ------*- C++ -*-===//
 
-#ifndef OLIVEVALVE_QUARANTINE_END_PROBE_H
-#define OLIVEVALVE_QUARANTINE_END_PROBE_H
+#ifndef OLIVEVALVE_QUARANTINE_LISTENER_PROBE_H
+#define OLIVEVALVE_QUARANTINE_LISTENER_PROBE_H
 
 #include "net/tcp_stream.h"
 #include <optional>
@@ -36,4 +36,4 @@
 
 } // namespace olivevalve
 
-#endif // OLIVEVALVE_QUARANTINE_END_PROBE_H
+#endif // OLIVEVALVE_QUARANTINE_LISTENER_PROBE_H
--- a/quarantine/request_identity.h
+++ b/quarantine/request_identity.h
@@ -1,4 +1,4 @@
-//===- request_identity.h - Identity of a request across retries ---*- C++ -*-//
+//===- request_identity.h - Identity across retries -------------*- C++ -*-===//
 
 #ifndef OLIVEVALVE_QUARANTINE_REQUEST_IDENTITY_H
 #define OLIVEVALVE_QUARANTINE_REQUEST_IDENTITY_H
--- a/sidecar/sidecar_task.h
+++ b/sidecar/sidecar_task.h
@@ -11,8 +11,8 @@
 
 #include "base/error.h"
 #include "base/metrics.h"
+#include "lease/bill_outbox.h"
 #include "lease/control_client.h"
-#include "lease/outbox.h"
 #include "net/http_client.h"
 #include "policy/replica_choice.h"
 #include "policy/work_queue.h"
--- a/tests/flood_test.cpp
+++ b/tests/flood_test.cpp
@@ -205,8 +205,8 @@
                        .UncachedPrefillSeconds = PrefillSeconds});
     }
     estimateUnobservedLoad(Views);
-    size_t Index =
-        *chooseEarliestFirstToken(Views, {.PrefillSeconds = PrefillSeconds}, Random);
+    size_t Index = *chooseEarliestFirstToken(
+        Views, {.PrefillSeconds = PrefillSeconds}, Random);
     double Wait = expectedSlotWait(Views, Stats.meanSlotSeconds());
     double Chance =
         refusalProbability(Wait, Stats.shortestTargetSeconds(), Priority);
--- a/tests/system/rest_test.cpp
+++ b/tests/system/backoff_test.cpp
@@ -1,4 +1,4 @@
-//===- rest_test.cpp - Upstreams that are backing off or leaving ----------===//
+//===- backoff_test.cpp - Upstreams that are backing off or leaving -------===//
 //
 // Guards against sending requests to an upstream that has refused one with
 // Retry-After before that time is over, through any of the paths that choose an
--- a/tests/system/paths_test.cpp
+++ b/tests/system/network_faults_test.cpp
@@ -1,4 +1,4 @@
-//===- paths_test.cpp - Faults between an entry and its sidecars ----------===//
+//===- network_faults_test.cpp - Faults between an entry and its sidecars -===//
 
 #include "boost/test/unit_test.hpp"
 #include "net/link.h"
--- a/tests/system/repeats_test.cpp
+++ b/tests/system/retries_test.cpp
@@ -1,4 +1,4 @@
-//===- repeats_test.cpp - Limit on retries to the upstreams of a service --===//
+//===- retries_test.cpp - Limit on retries to the upstreams of a service --===//
 //
 // Guards against retries that overload a service. Counted at the upstreams, the
 // arrivals beyond the first of each request stay within the bound of the
--- a/tests/system/strangers_test.cpp
+++ b/tests/system/unauthorized_peers_test.cpp
@@ -1,4 +1,4 @@
-//===- strangers_test.cpp - Unauthorized and malformed traffic ------------===//
+//===- unauthorized_peers_test.cpp - Unauthorized and malformed traffic ---===//
 
 #include "boost/test/unit_test.hpp"
 #include "net/link.h"
--- a/tests/system/warming_test.cpp
+++ b/tests/system/warmup_test.cpp
@@ -1,4 +1,4 @@
-//===- warming_test.cpp - Upstreams that have just started ----------------===//
+//===- warmup_test.cpp - Upstreams that have just started -----------------===//
 //
 // Guards against overloading an upstream that has just started. Its low load
 // attracts requests, but until it is warm all gateways together may send it no
--- a/tests/unit/admission_test.cpp
+++ b/tests/unit/admission_test.cpp
@@ -13,7 +13,8 @@
 std::vector<upstream_view> upstreamsWith(const std::vector<double> &Loads) {
   std::vector<upstream_view> Views;
   for (double Load : Loads)
-    Views.push_back({.Id = "u", .Load = Load, .ObservedLoad = Load, .Slots = 16});
+    Views.push_back(
+        {.Id = "u", .Load = Load, .ObservedLoad = Load, .Slots = 16});
   return Views;
 }
 
@@ -172,7 +173,8 @@
     Views[0].Load = Load - 3; // Seems the least loaded.
     int First = 0;
     for (int I = 0; I < 1000; ++I)
-      First += *chooseEarliestFirstToken(Views, {.PrefillSeconds = 0.1}, Random) == 0;
+      First += *chooseEarliestFirstToken(Views, {.PrefillSeconds = 0.1},
+                                         Random) == 0;
     return First;
   };
   BOOST_TEST(Chosen(24) < 250);
--- a/tests/unit/control_test.cpp
+++ b/tests/unit/control_test.cpp
@@ -2,8 +2,8 @@
 
 #include "boost/test/unit_test.hpp"
 #include "control/rollout_driver.h"
-#include "control/upstream_news.h"
-#include "gateway/upstream_copy.h"
+#include "control/upstream_list_publisher.h"
+#include "gateway/upstream_list_copy.h"
 #include <algorithm>
 #include <map>
 #include <random>
--- a/tests/unit/crash_evidence_test.cpp
+++ b/tests/unit/crash_evidence_test.cpp
@@ -2,7 +2,7 @@
 
 #include "base/clock.h"
 #include "boost/test/unit_test.hpp"
-#include "control/quarantine_keeper.h"
+#include "control/quarantine_manager.h"
 #include "ledger/state_machine.h"
 #include "quarantine/crash_watch.h"
 #include "quarantine/request_identity.h"
@@ -174,7 +174,8 @@
   for (uint64_t Gateway = 1; Gateway <= 3; ++Gateway) {
     BOOST_TEST(Control.commitChanges(Manager, double(Gateway)) == 0U);
     for (int Told = 0; Told < 3; ++Told)
-      Manager.addReports(crashReport({{CrashingRequest, Gateway}}), double(Gateway));
+      Manager.addReports(crashReport({{CrashingRequest, Gateway}}),
+                         double(Gateway));
   }
   BOOST_TEST(Control.commitChanges(Manager, 4) == 1U);
   BOOST_TEST(Control.Store.contains(CrashingRequest));
--- a/tests/unit/gateway_test.cpp
+++ b/tests/unit/gateway_test.cpp
@@ -8,8 +8,8 @@
 #include "gateway/software_versions.h"
 #include "gateway/upstream_table.h"
 #include "policy/model_choice.h"
-#include "policy/prompt_memory.h"
-#include "policy/prompt_pace.h"
+#include "policy/prefill_estimator.h"
+#include "policy/prefix_cache_model.h"
 #include "policy/upstream_choice.h"
 #include <algorithm>
 #include <array>
@@ -111,8 +111,9 @@
   Fewer.pop_back();
   std::set<size_t> Used;
   for (uint64_t Key = 0; Key < 200; ++Key) {
-    prompt_view Prompt{
-        .PrefillSeconds = 0.3, .SharedPrefillSeconds = 0.2, .SharedPrefixKey = Key};
+    prompt_view Prompt{.PrefillSeconds = 0.3,
+                       .SharedPrefillSeconds = 0.2,
+                       .SharedPrefixKey = Key};
     size_t Index = *chooseEarliestFirstToken(All, Prompt, Random);
     BOOST_TEST(*chooseEarliestFirstToken(All, Prompt, Random) == Index);
     if (Index < Fewer.size())
@@ -176,8 +177,9 @@
   // the key identifies.
   for (upstream_view &View : Views)
     View.UncachedPrefillSeconds = 0.2;
-  prompt_view Prompt{
-      .PrefillSeconds = 0.3, .SharedPrefillSeconds = 0.25, .SharedPrefixKey = 7};
+  prompt_view Prompt{.PrefillSeconds = 0.3,
+                     .SharedPrefillSeconds = 0.25,
+                     .SharedPrefixKey = 7};
   size_t Index = *chooseEarliestFirstToken(Views, Prompt, Random);
   for (int I = 0; I < 50; ++I)
     BOOST_TEST(*chooseEarliestFirstToken(Views, Prompt, Random) == Index);
@@ -253,8 +255,8 @@
   BOOST_TEST(Caches.cachedTokens(Home, Review) == 9200U);
   BOOST_TEST(Caches.cachedTokens(Elsewhere, Review) == 0U);
   // Another session that shares the first block.
-  BOOST_TEST(Caches.cachedTokens(Home, std::vector<prompt_block>{{11, 2500},
-                                                         {22, 3800}}) == 2500U);
+  BOOST_TEST(Caches.cachedTokens(Home, std::vector<prompt_block>{
+                                           {11, 2500}, {22, 3800}}) == 2500U);
   // A cached block cannot be used unless all blocks before it are cached.
   BOOST_TEST(Caches.cachedTokens(
                  Home, std::vector<prompt_block>{{31, 100}, {12, 3800}}) == 0U);
--- a/tests/unit/leases_test.cpp
+++ b/tests/unit/leases_test.cpp
@@ -2,7 +2,7 @@
 
 #include "base/digest.h"
 #include "boost/test/unit_test.hpp"
-#include "catalog/node_copy.h"
+#include "catalog/config_replica.h"
 #include "control/node_table.h"
 #include "tests/unit/fixtures.h"
 
--- a/tests/unit/load_test.cpp
+++ b/tests/unit/load_test.cpp
@@ -8,8 +8,8 @@
 
 #include "boost/test/unit_test.hpp"
 #include "policy/model_choice.h"
-#include "policy/prompt_memory.h"
-#include "policy/prompt_pace.h"
+#include "policy/prefill_estimator.h"
+#include "policy/prefix_cache_model.h"
 #include "policy/upstream_choice.h"
 #include <algorithm>
 #include <numeric>
@@ -95,12 +95,13 @@
     for (size_t I = 0; I < Upstreams.size(); ++I) {
       uint32_t Cached =
           Options.TracksPrefixCache ? PrefixCaches.cachedTokens(I, Blocks) : 0;
-      Views.push_back({.Id = Upstreams[I].Id,
-                       .Slots = 64,
-                       .SameHall = true,
-                       .PrefillSeconds = waitAt(I),
-                       .UncachedPrefillSeconds = FullPrefillSeconds -
-                                      secondsPerToken(Model) * Cached});
+      Views.push_back(
+          {.Id = Upstreams[I].Id,
+           .Slots = 64,
+           .SameHall = true,
+           .PrefillSeconds = waitAt(I),
+           .UncachedPrefillSeconds =
+               FullPrefillSeconds - secondsPerToken(Model) * Cached});
     }
     prompt_view Prompt{.PrefillSeconds = FullPrefillSeconds};
     if (Options.TracksPrefixCache) {
@@ -142,14 +143,15 @@
                       .OutputTokens = MadeTokens,
                       .Priority = 1};
     UtilityRates.add(utilityOf(Size),
-                        SmallSecondsPerToken * (SharedTokens + SuffixTokens));
+                     SmallSecondsPerToken * (SharedTokens + SuffixTokens));
     // A gateway weighs the larger model when the small model's first token
     // comes. The simulation does so at once, which leaves out nothing that
     // arrives until then.
     Blocks = blocksFor(Large, Subject);
     size_t Index = choose(Large, Blocks);
-    double Read = secondsPerToken(Large) * (SharedTokens + SuffixTokens -
-                                            PrefixCaches.cachedTokens(Index, Blocks));
+    double Read =
+        secondsPerToken(Large) * (SharedTokens + SuffixTokens -
+                                  PrefixCaches.cachedTokens(Index, Blocks));
     double Backlog = Options.ConsidersBacklog ? meanBacklog() : 0;
     ProcessingTimes.add(Read);
     auto Larger =
--- a/tests/unit/routing_changes_test.cpp
+++ b/tests/unit/routing_changes_test.cpp
@@ -1,11 +1,11 @@
 //===- routing_changes_test.cpp - Incremental routing updates -------------===//
 
 #include "boost/test/unit_test.hpp"
-#include "catalog/routing_copy.h"
-#include "control/routing_news.h"
+#include "catalog/routing_replica.h"
+#include "control/routing_publisher.h"
 #include "google/protobuf/stubs/logging.h"
 #include "lease/routing_fetch.h"
-#include "ledger/routing_book.h"
+#include "ledger/routing_store.h"
 #include "ledger/text_patch.h"
 #include "tests/unit/fixtures.h"
 #include <random>
@@ -197,7 +197,8 @@
     wire::routing_ask Request;
     Request.set_version(Copy.pendingVersion());
     Request.set_piece(Copy.nextPiece());
-    BOOST_REQUIRE(Copy.applyPiece(*Publisher.piece(Request)) != piece_result::Rejected);
+    BOOST_REQUIRE(Copy.applyPiece(*Publisher.piece(Request)) !=
+                  piece_result::Rejected);
     Publisher.setConfig(manyRoutes(2000, ++Version));
     BOOST_REQUIRE(++Pieces < 1000);
   }
@@ -299,7 +300,8 @@
       Odd[Random() % Odd.size()] = char(Random());
     wire::routing_piece Piece;
     routing_replica Copy;
-    if (Piece.ParseFromString(Odd) && Copy.applyPiece(Piece) == piece_result::InForce)
+    if (Piece.ParseFromString(Odd) &&
+        Copy.applyPiece(Piece) == piece_result::InForce)
       lookUpResults(*Copy.table());
   }
 }
--- a/tests/unit/state_test.cpp
+++ b/tests/unit/state_test.cpp
@@ -180,7 +180,8 @@
       }
       BOOST_TEST((Report.Verdict == guard_verdict::Go));
       BOOST_REQUIRE(Report.StoppedScopes.size() == 1U);
-      BOOST_TEST(Report.StoppedScopes[0].Name == (Case.OneTemplate ? "t0" : "a0"));
+      BOOST_TEST(Report.StoppedScopes[0].Name ==
+                 (Case.OneTemplate ? "t0" : "a0"));
       Catalog = Config(Case.OneTemplate ? R"({"templates":["t0"]})"
                                         : R"({"accounts":["a0"]})");
       Report = Store.evaluate(Catalog)[1];
--- a/tests/unit/warming_test.cpp
+++ b/tests/unit/warming_test.cpp
@@ -2,7 +2,7 @@
 
 #include "boost/test/unit_test.hpp"
 #include "gateway/upstream_table.h"
-#include "policy/warming.h"
+#include "policy/warmup.h"
 #include <algorithm>
 #include <cmath>
 #include <deque>
